--- a/crates/rampbay-jobs/src/agent.rs
+++ b/crates/rampbay-jobs/src/agent.rs
@@ -1,8 +1,10 @@
-//! The agent beside a worker: carries out what the table says, renews leases, reports ends.
+//! The agent of a worker: starts and stops runs as the job table says, renews leases and reports
+//! ended runs.
 //!
-//! A process may see several lives of its worker, one after the other or for a while side by
-//! side; each has a [`incarnation::Incarnation`] of its own. [`AgentHost`] makes them as heartbeats come and as
-//! the table tells of a life from before a restart.
+//! A process may see several incarnations of its worker, one after another or overlapping for a
+//! while. Each incarnation is served by an [`incarnation::Incarnation`]. [`AgentHost`] creates them
+//! when heartbeats arrive, and for registrations in the table that an earlier process of this agent
+//! made.
 
 mod ends;
 mod held_back;
@@ -30,106 +32,109 @@
 
 use incarnation::Incarnation;
 
-/// Times that an agent goes by.
+/// Timing settings of an agent.
 #[derive(Clone, Copy, Debug)]
 pub struct AgentSettings {
-    /// Longest lease that a worker gives.
+    /// Longest lease that a worker grants.
     pub lease: Duration,
-    /// Time after the last renewal was sent from which all leases have surely ended.
+    /// Time after the last renewal was sent by which all leases have certainly ended.
     pub lease_expiry: Duration,
-    /// Oldest table under which leases are renewed.
+    /// Greatest age of the table with which leases are renewed.
     pub max_renewal_table_age: Duration,
-    /// Oldest table under which runs are started.
+    /// Greatest age of the table with which runs are started.
     pub max_start_table_age: Duration,
-    /// Oldest account of the worker under which runs are started: its room may have shrunk since.
+    /// Greatest age of the worker's last heartbeat with which runs are started: its capacity may
+    /// have shrunk since.
     pub max_heartbeat_age: Duration,
-    /// Time without answer after which a worker's leases are no longer renewed.
+    /// Time without an answer or a heartbeat after which a worker's leases are no longer renewed.
     pub silence_timeout: Duration,
-    /// How long a renewal waits at the worker for an end.
+    /// How long the worker may hold a renewal open until a run ends.
     pub renewal_wait: Duration,
-    /// Time between two reports while runs are there.
+    /// Time between two progress reports while runs exist.
     pub report_interval: Duration,
-    /// Time between two reports of a worker without runs.
+    /// Time between two progress reports of a worker without runs.
     pub idle_report_interval: Duration,
-    /// How long a start without answer may take to show among the runs.
+    /// How long an unanswered start may take to appear among the worker's runs.
     pub unanswered_start_timeout: Duration,
 }
 
-/// Makes a client for a life of the worker, given its address and its id.
+/// Creates a client for an incarnation of the worker, given its address and its id.
 pub type Connect = Box<dyn Fn(&str, &str) -> Rc<dyn Worker>>;
 
-/// Compares two lives by when they began; `None` for lives of two workers.
+/// Compares the start times of two incarnations; `None` if they belong to different workers.
 pub type CompareIncarnations = fn(&str, &str) -> Option<Ordering>;
 
-/// Tells from its name when a life began, where workers tell that.
+/// Returns when the incarnation with this id started; `None` if its worker doesn't report that.
 pub type IncarnationStart = fn(&str) -> Option<EpochMillis>;
 
-/// What all lives of one process share.
+/// Dependencies shared by all incarnations that one process serves.
 pub struct AgentParts {
     /// Name of this process.
     pub node: NodeName,
-    /// The store.
+    /// The store that holds the state.
     pub store: Rc<dyn Store>,
-    /// The table, which a follower keeps current.
+    /// The job table, kept up to date by a follower.
     pub table: Rc<RefCell<JobTable>>,
-    /// Age of the table.
+    /// How up to date the table is.
     pub freshness: Rc<Freshness>,
-    /// Makes a client for a life of the worker.
+    /// Creates a client for an incarnation of the worker.
     pub connect: Connect,
-    /// Tells which of two lives of a worker came first.
+    /// Compares the start times of two incarnations of a worker.
     pub compare_incarnations: CompareIncarnations,
-    /// Tells when a life began.
+    /// Returns when an incarnation started.
     pub incarnation_start: IncarnationStart,
-    /// Reads the clock.
+    /// Returns the time of day.
     pub wall_clock: fn() -> EpochMillis,
-    /// Times.
+    /// Timing settings.
     pub settings: AgentSettings,
 }
 
-/// A worker's account of itself.
+/// A worker's report of its own state.
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
-    /// Its id.
+    /// Id of the worker's incarnation.
     pub instance: InstanceId,
-    /// Rises with every heartbeat of this life.
+    /// Sequence number; rises with every heartbeat of this incarnation.
     pub sequence: u64,
-    /// What it says; `node` and `leaves_at` are filled in by the host.
+    /// The reported state; the host fills in `node` and `leaves_at`.
     pub record: WorkerRecord,
-    /// Least time until it leaves, while it drains.
+    /// Least time until the worker leaves, while it is draining.
     pub remaining: Option<Duration>,
 }
 
-/// All lives of one process's worker.
+/// All incarnations of the worker that one process serves.
 pub struct AgentHost {
     parts: Rc<AgentParts>,
-    lives: RefCell<BTreeMap<InstanceId, Rc<Incarnation>>>,
-    /// Lives that are over for good, the latest last: a heartbeat of theirs that was held up may still come.
+    incarnations: RefCell<BTreeMap<InstanceId, Rc<Incarnation>>>,
+    /// Incarnations that have ended for good, the latest last: delayed heartbeats of theirs may
+    /// still arrive.
     ended: RefCell<VecDeque<InstanceId>>,
 }
 
-/// Ended lives that are remembered. A machine's worker has a handful in a day; a heartbeat of one that was
-/// forgotten makes a life that ends with its first call, since another one answers.
-const MOST_ENDED: usize = 32;
+/// Most ended incarnations that are remembered. A worker has a handful in a day. A delayed
+/// heartbeat of a forgotten one creates an incarnation that ends with its first call, because
+/// another incarnation answers.
+const MAX_REMEMBERED_ENDED: usize = 32;
 
-/// Pause of loops that look for something to do without being told.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause of loops that poll for work instead of being notified.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 impl AgentHost {
-    /// Makes a host without lives.
+    /// Creates a host without incarnations.
     #[must_use]
     pub fn new(parts: AgentParts) -> Rc<Self> {
         Rc::new(Self {
             parts: Rc::new(parts),
-            lives: RefCell::default(),
+            incarnations: RefCell::default(),
             ended: RefCell::default(),
         })
     }
 
-    /// Takes in a heartbeat.
+    /// Handles a heartbeat.
     pub fn heartbeat(self: &Rc<Self>, heartbeat: Heartbeat) {
-        if self.is_of_the_past(&heartbeat.instance) {
+        if self.is_superseded(&heartbeat.instance) {
             log::info!(
-                "event=J171 late heartbeat of an ended life worker={} sequence={}",
+                "event=J171 heartbeat of an ended worker incarnation ignored worker={} sequence={}",
                 heartbeat.instance,
                 heartbeat.sequence
             );
@@ -140,129 +145,140 @@
         if let Some(remaining) = heartbeat.remaining.filter(|_| record.draining) {
             record.leaves_at = (self.parts.wall_clock)() + remaining.as_millis() as u64;
         }
-        let life = self.life(&heartbeat.instance, &record);
-        life.hear(heartbeat.sequence, record);
+        let incarnation = self.get_or_create(&heartbeat.instance, &record);
+        incarnation.handle_heartbeat(heartbeat.sequence, record);
     }
 
-    /// Returns whether a life is over for good, or a later one of its worker is known.
-    fn is_of_the_past(&self, instance: &str) -> bool {
+    /// Returns whether an incarnation has ended for good, or a later one of its worker is known.
+    fn is_superseded(&self, instance: &str) -> bool {
         let is_earlier = |known: &InstanceId| {
             (self.parts.compare_incarnations)(instance, known) == Some(Ordering::Less)
         };
         self.ended.borrow().iter().any(|ended| ended == instance)
-            || self.lives.borrow().keys().any(is_earlier)
+            || self.incarnations.borrow().keys().any(is_earlier)
     }
 
-    /// Ends the lives that have a later one of the same worker: that one turns their calls away, and doesn't answer them.
+    /// Ends every incarnation that a later one of the same worker has replaced. The later one
+    /// rejects calls that are meant for the earlier one instead of answering them, so no call would
+    /// show that the earlier one is over.
     fn end_predecessors(&self) {
-        let lives = self.lives.borrow();
-        for life in lives.values() {
+        let incarnations = self.incarnations.borrow();
+        for incarnation in incarnations.values() {
             let is_later = |other: &&InstanceId| {
-                (self.parts.compare_incarnations)(&life.instance, other) == Some(Ordering::Less)
+                (self.parts.compare_incarnations)(&incarnation.instance, other)
+                    == Some(Ordering::Less)
             };
-            if let Some(successor) = lives.keys().rfind(is_later) {
-                life.replace(Some(successor.clone()));
+            if let Some(successor) = incarnations.keys().rfind(is_later) {
+                incarnation.replace(Some(successor.clone()));
             }
         }
     }
 
-    /// Takes in that a life is about to end: the latest of those that `is_meant` holds for.
+    /// Handles a deregistration: marks the most recently discovered incarnation that satisfies
+    /// `is_meant` as leaving.
     pub fn deregister(&self, is_meant: impl Fn(&str) -> bool) {
-        let lives = self.lives.borrow();
-        let meant = lives.values().filter(|life| is_meant(&life.instance) && !life.is_over());
-        let latest = meant.max_by(|one, other| one.found_before(other)).cloned();
-        drop(lives);
-        if let Some(life) = latest {
-            life.leave();
+        let incarnations = self.incarnations.borrow();
+        let meant = incarnations
+            .values()
+            .filter(|incarnation| is_meant(&incarnation.instance) && !incarnation.has_ended());
+        let latest = meant.max_by(|one, other| one.discovered_before(other)).cloned();
+        drop(incarnations);
+        if let Some(incarnation) = latest {
+            incarnation.deregister();
         }
     }
 
-    /// Adopts lives from before a restart, and reports progress, for ever.
+    /// Adopts incarnations that an earlier process registered, and reports progress; never returns.
     pub async fn run(self: Rc<Self>) {
-        tokio::join!(self.adopt_for_ever(), self.report_for_ever());
+        tokio::join!(self.adopt_forever(), self.report_forever());
     }
 
-    /// Returns whether nothing is lost if this process ends now: no end and no departure of a
-    /// worker is still on its way to the store.
+    /// Returns whether nothing is lost if this process ends now: no end of a run and no departure
+    /// of a worker is still to be written to the store.
     #[must_use]
     pub fn is_settled(&self) -> bool {
-        self.lives.borrow().values().all(|life| life.is_settled())
+        self.incarnations.borrow().values().all(|incarnation| incarnation.is_settled())
     }
 
-    /// Counts the ends that all lives remember, so that none is ordered again.
+    /// Counts the ended runs that all incarnations remember so as not to start them again.
     #[must_use]
     pub fn remembered_ends(&self) -> usize {
-        self.lives.borrow().values().map(|life| life.remembered_ends()).sum()
+        self.incarnations.borrow().values().map(|incarnation| incarnation.remembered_ends()).sum()
     }
 
-    /// Drops all lives at once, as the end of the process would.
+    /// Drops all incarnations at once, as the end of the process would.
     pub fn abandon(&self) {
-        for life in self.lives.borrow().values() {
-            life.abandon();
+        for incarnation in self.incarnations.borrow().values() {
+            incarnation.abandon();
         }
     }
 
-    fn life(self: &Rc<Self>, instance: &str, record: &WorkerRecord) -> Rc<Incarnation> {
-        if let Some(life) = self.lives.borrow().get(instance) {
-            return Rc::clone(life);
+    fn get_or_create(self: &Rc<Self>, instance: &str, record: &WorkerRecord) -> Rc<Incarnation> {
+        if let Some(incarnation) = self.incarnations.borrow().get(instance) {
+            return Rc::clone(incarnation);
         }
         let worker = (self.parts.connect)(&record.address, instance);
-        let life =
+        let incarnation =
             Incarnation::new(Rc::clone(&self.parts), instance.to_owned(), record.clone(), worker);
-        self.lives.borrow_mut().insert(instance.to_owned(), Rc::clone(&life));
-        log::info!("event=J160 worker life found worker={instance} address={}", record.address);
+        self.incarnations.borrow_mut().insert(instance.to_owned(), Rc::clone(&incarnation));
+        log::info!(
+            "event=J160 worker incarnation discovered worker={instance} address={}",
+            record.address
+        );
         self.end_predecessors();
         let host = Rc::clone(self);
-        let running = Rc::clone(&life);
+        let running = Rc::clone(&incarnation);
         tokio::task::spawn_local(async move {
             tokio::select! {
                 () = running.run() => {}
                 () = running.abandoned() => {}
             }
-            if running.is_over_for_good() {
+            if running.has_ended_for_good() {
                 host.remember_ended(&running);
             }
-            host.lives.borrow_mut().remove(&running.instance);
+            host.incarnations.borrow_mut().remove(&running.instance);
         });
-        life
+        incarnation
     }
 
-    fn remember_ended(&self, life: &Incarnation) {
+    fn remember_ended(&self, incarnation: &Incarnation) {
         let mut ended = self.ended.borrow_mut();
-        if ended.len() >= MOST_ENDED {
+        if ended.len() >= MAX_REMEMBERED_ENDED {
             ended.pop_front();
         }
-        ended.push_back(life.instance.clone());
+        ended.push_back(incarnation.instance.clone());
     }
 
-    async fn adopt_for_ever(self: &Rc<Self>) {
+    async fn adopt_forever(self: &Rc<Self>) {
         loop {
-            for (instance, record) in self.unknown_lives() {
-                self.life(&instance, &record);
+            for (instance, record) in self.unserved_incarnations() {
+                self.get_or_create(&instance, &record);
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn unknown_lives(&self) -> Vec<(InstanceId, WorkerRecord)> {
+    fn unserved_incarnations(&self) -> Vec<(InstanceId, WorkerRecord)> {
         let table = self.parts.table.borrow();
-        let lives = self.lives.borrow();
+        let incarnations = self.incarnations.borrow();
         let mine = table.workers.iter().filter(|(instance, worker)| {
-            worker.node == self.parts.node && !lives.contains_key(*instance)
+            worker.node == self.parts.node && !incarnations.contains_key(*instance)
         });
         mine.map(|(instance, worker)| (instance.clone(), worker.as_ref().clone())).collect()
     }
 
-    async fn report_for_ever(&self) {
+    async fn report_forever(&self) {
         let settings = &self.parts.settings;
         let mut since_report = settings.idle_report_interval;
         loop {
-            let lives: Vec<Rc<Incarnation>> = self.lives.borrow().values().cloned().collect();
-            lives.iter().for_each(|life| life.forget_removed_jobs());
-            let busy = lives.iter().any(|life| life.has_runs());
+            let incarnations: Vec<Rc<Incarnation>> =
+                self.incarnations.borrow().values().cloned().collect();
+            incarnations.iter().for_each(|incarnation| incarnation.forget_removed_jobs());
+            let busy = incarnations.iter().any(|incarnation| incarnation.has_runs());
             if busy || since_report >= settings.idle_report_interval {
-                // One that the store didn't take is followed by another without delay.
-                since_report = match self.report(&lives).await {
+                // A report that the store didn't take is sent again without waiting for the idle
+                // interval.
+                since_report = match self.report(&incarnations).await {
                     Ok(()) => Duration::ZERO,
                     Err(_) => settings.idle_report_interval,
                 };
@@ -272,10 +288,13 @@
         }
     }
 
-    async fn report(&self, lives: &[Rc<Incarnation>]) -> Result<(), AppendError> {
-        let records: Vec<KeyedRecord> = lives
+    async fn report(&self, incarnations: &[Rc<Incarnation>]) -> Result<(), AppendError> {
+        let records: Vec<KeyedRecord> = incarnations
             .iter()
-            .map(|life| KeyedRecord { key: life.instance.clone(), value: encode(&life.report()) })
+            .map(|incarnation| KeyedRecord {
+                key: incarnation.instance.clone(),
+                value: encode(&incarnation.report()),
+            })
             .collect();
         if !records.is_empty() {
             self.parts.store.report(&records).await?;
--- a/crates/rampbay-jobs/src/agent/ends.rs
+++ b/crates/rampbay-jobs/src/agent/ends.rs
@@ -1,4 +1,4 @@
-//! Brings ends into the store before the worker may forget them.
+//! Writes the ends of runs to the store before the worker is allowed to forget them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,28 +12,28 @@
 use super::incarnation::Incarnation;
 use super::runs::RunKey;
 
-/// Pause before ends that the store didn't take are offered again.
+/// Pause before a failed append of ends is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// An end on its way to the store.
+/// An end of a run that is still to be written to the store.
 pub struct PendingEnd {
     key: RunKey,
     reason: EndReason,
     checkpoint: Checkpoint,
-    /// Number in the worker's list; 0 if it isn't there.
+    /// Number in the worker's list of ends; 0 if the worker doesn't list it.
     number: u64,
 }
 
 impl PendingEnd {
-    /// Makes an end that the worker doesn't list.
+    /// Creates an end that the worker doesn't list.
     pub fn unlisted(key: RunKey, reason: EndReason) -> Self {
         Self { key, reason, checkpoint: String::new(), number: 0 }
     }
 }
 
 impl Incarnation {
-    /// Takes in the ends that a worker lists.
-    pub(super) fn take_in_ended(self: &Rc<Self>, listing: &Listing) {
+    /// Stores the ends that a worker lists.
+    pub(super) fn store_listed_ends(self: &Rc<Self>, listing: &Listing) {
         let ends = listing.ended.iter().filter(|end| end.number > self.last_seen.get());
         let ends: Vec<PendingEnd> = ends
             .map(|end| PendingEnd {
@@ -43,24 +43,25 @@
                 number: end.number,
             })
             .collect();
-        // Known to have ended from now on, though the store doesn't know it yet: never started again.
+        // Marked as ended already before the store has the record, so that they are never started
+        // again.
         let keys = ends.iter().map(|end| end.key.clone());
-        self.runs.borrow_mut().over.extend(keys);
-        if ends.is_empty() || self.storing.replace(true) {
+        self.runs.borrow_mut().ended.extend(keys);
+        if ends.is_empty() || self.listed_append_in_flight.replace(true) {
             return;
         }
-        let life = Rc::clone(self);
+        let incarnation = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            life.store_ends(ends).await;
-            life.storing.set(false);
-            life.wake.notify_waiters();
-            life.parts.freshness.notify();
+            incarnation.store_ends(ends).await;
+            incarnation.listed_append_in_flight.set(false);
+            incarnation.wake.notify_waiters();
+            incarnation.parts.freshness.notify();
         });
     }
 
-    /// Reports a run that is over without being listed.
+    /// Stores the end of a run that the worker doesn't list as ended.
     pub(super) fn report_end(self: &Rc<Self>, end: PendingEnd) {
-        let is_new = self.runs.borrow_mut().over.insert(end.key.clone());
+        let is_new = self.runs.borrow_mut().ended.insert(end.key.clone());
         if !is_new {
             self.runs.borrow_mut().open.remove(&end.key);
             return;
@@ -68,20 +69,20 @@
         if end.reason == EndReason::NotStarted {
             self.runs.borrow_mut().never_started.insert(end.key.clone());
         }
-        let life = Rc::clone(self);
-        tokio::task::spawn_local(async move { life.store_ends(vec![end]).await });
+        let incarnation = Rc::clone(self);
+        tokio::task::spawn_local(async move { incarnation.store_ends(vec![end]).await });
     }
 
     async fn store_ends(&self, ends: Vec<PendingEnd>) {
-        self.storing_ends.set(self.storing_ends.get() + 1);
-        self.keep_ends(ends).await;
-        self.storing_ends.set(self.storing_ends.get() - 1);
+        self.appends_in_flight.set(self.appends_in_flight.get() + 1);
+        self.append_ends(ends).await;
+        self.appends_in_flight.set(self.appends_in_flight.get() - 1);
     }
 
-    async fn keep_ends(&self, ends: Vec<PendingEnd>) {
-        let records: Vec<KeyedRecord> = ends.iter().map(|end| self.record_of(end)).collect();
+    async fn append_ends(&self, ends: Vec<PendingEnd>) {
+        let records: Vec<KeyedRecord> = ends.iter().map(|end| self.end_record(end)).collect();
         while self.parts.store.append(STATE_TOPIC, &records, None).await.is_err() {
-            if self.is_over() {
+            if self.has_ended() {
                 return;
             }
             tokio::time::sleep(RETRY_PAUSE).await;
@@ -90,16 +91,16 @@
         for end in ends {
             self.last_seen.set(self.last_seen.get().max(end.number));
             runs.open.remove(&end.key);
-            runs.over.insert(end.key);
+            runs.ended.insert(end.key);
         }
     }
 
-    fn record_of(&self, end: &PendingEnd) -> KeyedRecord {
+    fn end_record(&self, end: &PendingEnd) -> KeyedRecord {
         let (task, attempt) = end.key.clone();
         metrics().ended(end.reason.word());
         let percent = self.runs.borrow().open.get(&end.key).map_or(0, |run| run.percent);
         log::info!(
-            "event=J165 run over task={task} attempt={attempt} reason={:?} worker={} number={} percent={percent}",
+            "event=J165 run ended task={task} attempt={attempt} reason={:?} worker={} number={} percent={percent}",
             end.reason,
             self.instance,
             end.number
@@ -112,7 +113,7 @@
             instance: self.instance.clone(),
         };
         let key = if end.reason == EndReason::NotStarted {
-            refusal_key(&end, self.kept_number.get().unwrap_or_default())
+            refusal_key(&end, self.stored_number.get().unwrap_or_default())
         } else {
             end_key(&end)
         };
--- a/crates/rampbay-jobs/src/agent/held_back.rs
+++ b/crates/rampbay-jobs/src/agent/held_back.rs
@@ -1,8 +1,8 @@
-//! Why runs that the table wants aren't ordered.
+//! Why the agent doesn't order runs that the table assigns to its worker.
 
 use super::incarnation::Incarnation;
 
-/// Why an agent holds wanted runs back.
+/// Reason for which an agent holds back assigned runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HeldBack {
     /// The worker's runs haven't been listed yet.
@@ -11,18 +11,18 @@
     NoState,
     /// The worker is evicted.
     Evicted,
-    /// The worker isn't registered by this process.
+    /// This process hasn't registered the worker.
     NotRegistered,
-    /// The view of the state is too old.
+    /// The table is too old.
     OldView,
-    /// Another attempt of the task may run still.
+    /// Another attempt of the task may still be running.
     OtherAttempt,
-    /// What the worker's runs hold isn't known.
+    /// The free capacity isn't known: a run's resources or the worker's own are unknown.
     UnknownRoom,
 }
 
 impl Incarnation {
-    /// Returns why no run at all may be ordered now.
+    /// Returns why no run at all may be started now, if so.
     pub(super) fn held_back(&self) -> Option<HeldBack> {
         if !self.listed.get() {
             Some(HeldBack::NotListed)
@@ -39,14 +39,14 @@
         }
     }
 
-    /// Tells when wanted runs begin to be held back, and when the reason changes.
-    pub(super) fn tell_held_back(&self, reason: Option<HeldBack>) {
-        if self.told_held_back.get() == reason {
+    /// Logs when assigned runs begin to be held back, and when the reason changes.
+    pub(super) fn log_held_back(&self, reason: Option<HeldBack>) {
+        if self.logged_held_back.get() == reason {
             return;
         }
         let wanted = if reason.is_some() { self.wanted().len() } else { 0 };
-        let told = reason.filter(|_| wanted > 0);
-        if let Some(reason) = told {
+        let logged = reason.filter(|_| wanted > 0);
+        if let Some(reason) = logged {
             let age = self.parts.freshness.age().unwrap_or_default();
             log::warn!(
                 "event=J182 runs held back worker={} reason={reason:?} wanted={wanted} position={} view_age_ms={} open={:?}",
@@ -56,6 +56,6 @@
                 self.runs.borrow().describe_open()
             );
         }
-        self.told_held_back.set(told);
+        self.logged_held_back.set(logged);
     }
 }
--- a/crates/rampbay-jobs/src/agent/incarnation.rs
+++ b/crates/rampbay-jobs/src/agent/incarnation.rs
@@ -1,4 +1,4 @@
-//! One life of a worker, from the first heartbeat to its certain end.
+//! One incarnation of a worker, from its discovery until it has certainly ended.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,25 +16,26 @@
 
 use super::held_back::HeldBack;
 use super::runs::{Phase, Runs};
-use super::{AgentParts, LOOK_INTERVAL};
+use super::{AgentParts, POLL_INTERVAL};
 
-/// Time between two calls that show whether a worker that has said good-bye is gone.
-const DEPARTURE_LOOK: Duration = Duration::from_millis(100);
+/// Time between two calls that check whether a deregistered worker has stopped listening.
+const DEPARTURE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a life is certainly over.
+/// Why an incarnation has certainly ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum LifeEnd {
-    /// Another life answers at its address.
+pub(super) enum EndCause {
+    /// A later incarnation of the worker is known.
     Replaced,
-    /// It said good-bye, and is gone.
+    /// The worker departed: its leases have expired, or its address refuses connections after a
+    /// deregistration.
     Left,
-    /// It was silent until all its leases had lapsed; it may be heard again.
+    /// The worker was silent until all its leases had expired; it may be heard from again.
     Silent,
 }
 
-impl LifeEnd {
-    /// Returns its name in logs.
-    const fn word(self) -> &'static str {
+impl EndCause {
+    /// Returns the name used in log lines.
+    const fn as_str(self) -> &'static str {
         match self {
             Self::Replaced => "replaced",
             Self::Left => "left",
@@ -43,59 +44,60 @@
     }
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 pub struct Incarnation {
-    /// The worker's id.
+    /// Id of the incarnation.
     pub instance: InstanceId,
     pub(super) parts: Rc<AgentParts>,
     pub(super) worker: Rc<dyn Worker>,
     pub(super) runs: RefCell<Runs>,
     pub(super) wake: Notify,
-    /// The worker's clock at a time of ours.
+    /// The worker's clock, and when this process read it.
     pub(super) clock: Cell<Option<(WorkerMillis, Instant)>>,
-    /// Whether the worker's runs have been listed once.
+    /// Whether the worker has listed its runs at least once.
     pub(super) listed: Cell<bool>,
-    /// Number of the last end that the store has kept.
+    /// Number of the last listed end that the store holds.
     pub(super) last_seen: Cell<u64>,
-    /// Number of the last end that the worker was told to forget.
-    pub(super) noted: Cell<u64>,
-    /// Whether listed ends are on their way to the store.
-    pub(super) storing: Cell<bool>,
-    /// Number of appends of ends that the store hasn't answered.
-    pub(super) storing_ends: Cell<usize>,
-    /// When a call that renews was sent last, by a clock that stands still while the worker's may.
+    /// Number of the last listed end that was acknowledged, so that the worker may forget it.
+    pub(super) acknowledged: Cell<u64>,
+    /// Whether an append of listed ends is in flight.
+    pub(super) listed_append_in_flight: Cell<bool>,
+    /// Number of appends of ends that are in flight.
+    pub(super) appends_in_flight: Cell<usize>,
+    /// When a call that renews leases was sent last, by a clock that stops during a suspension, as
+    /// the worker's may.
     pub(super) lease_sent: Cell<Instant>,
-    /// When the worker answered or was heard last.
-    pub(super) heard: Cell<Moment>,
-    /// When the worker's listing was taken in last.
-    pub(super) looked: Cell<Instant>,
-    /// When this process first knew of the life.
-    pub(super) found: Moment,
-    /// When the worker last gave an account of itself to this process.
-    pub(super) account_heard: Cell<Option<Moment>>,
+    /// When the worker last answered or sent a heartbeat.
+    pub(super) last_contact: Cell<Moment>,
+    /// When the worker's list of runs was processed last.
+    pub(super) last_listing: Cell<Instant>,
+    /// When this process discovered the incarnation.
+    pub(super) discovered: Moment,
+    /// When the worker's last heartbeat reached this process.
+    pub(super) last_heartbeat: Cell<Option<Moment>>,
     pub(super) record: RefCell<WorkerRecord>,
-    /// Number under which the store has kept a registration by this process last.
-    pub(super) kept_number: Cell<Option<RegistrationNumber>>,
-    /// Number under which this process registers the worker, once it has taken one.
+    /// Number of the last registration by this process that the store accepted.
+    pub(super) stored_number: Cell<Option<RegistrationNumber>>,
+    /// Number of this process's registration, once it has taken one.
     pub(super) number: Cell<Option<RegistrationNumber>>,
-    /// Whether the state held the worker when it was looked at last.
+    /// Whether the table held the worker at the last check.
     pub(super) was_registered: Cell<bool>,
-    /// Why wanted runs are held back, as the log was told last.
-    pub(super) told_held_back: Cell<Option<HeldBack>>,
+    /// Reason for which assigned runs are held back, as logged last.
+    pub(super) logged_held_back: Cell<Option<HeldBack>>,
     sequence: Cell<u64>,
-    /// When it was taken to leave. Its leases are never renewed again.
-    left_at: Cell<Option<Instant>>,
-    /// Whether it has told this process that it ends now.
-    said_goodbye: Cell<bool>,
-    over: Cell<Option<LifeEnd>>,
-    /// The life that has followed, once its name is known.
+    /// When the worker was found to be leaving. Its leases are never renewed again.
+    leaving_since: Cell<Option<Instant>>,
+    /// Whether the worker has deregistered.
+    has_deregistered: Cell<bool>,
+    end_cause: Cell<Option<EndCause>>,
+    /// Id of the incarnation that replaced this one, once known.
     pub(super) successor: RefCell<Option<InstanceId>>,
     is_abandoned: Cell<bool>,
     abandoned: Notify,
 }
 
 impl Incarnation {
-    /// Makes a life whose runs aren't known yet.
+    /// Creates an incarnation whose runs aren't known yet.
     pub(super) fn new(
         parts: Rc<AgentParts>,
         instance: InstanceId,
@@ -103,7 +105,7 @@
         worker: Rc<dyn Worker>,
     ) -> Rc<Self> {
         let now = Instant::now();
-        let left_at = record.departed.then_some(now);
+        let leaving_since = record.departed.then_some(now);
         Rc::new(Self {
             instance,
             parts,
@@ -113,46 +115,46 @@
             clock: Cell::new(None),
             listed: Cell::new(false),
             last_seen: Cell::new(0),
-            noted: Cell::new(0),
-            storing: Cell::new(false),
-            storing_ends: Cell::new(0),
+            acknowledged: Cell::new(0),
+            listed_append_in_flight: Cell::new(false),
+            appends_in_flight: Cell::new(0),
             lease_sent: Cell::new(now),
-            heard: Cell::new(Moment::now()),
-            looked: Cell::new(now),
-            found: Moment::now(),
-            account_heard: Cell::new(None),
+            last_contact: Cell::new(Moment::now()),
+            last_listing: Cell::new(now),
+            discovered: Moment::now(),
+            last_heartbeat: Cell::new(None),
             record: RefCell::new(record),
-            kept_number: Cell::new(None),
+            stored_number: Cell::new(None),
             number: Cell::new(None),
             was_registered: Cell::new(false),
-            told_held_back: Cell::new(None),
+            logged_held_back: Cell::new(None),
             sequence: Cell::new(0),
-            left_at: Cell::new(left_at),
-            said_goodbye: Cell::new(false),
-            over: Cell::new(None),
+            leaving_since: Cell::new(leaving_since),
+            has_deregistered: Cell::new(false),
+            end_cause: Cell::new(None),
             successor: RefCell::default(),
             is_abandoned: Cell::new(false),
             abandoned: Notify::new(),
         })
     }
 
-    /// Takes in a heartbeat, unless a later one has come.
-    pub(super) fn hear(&self, sequence: u64, record: WorkerRecord) {
-        self.heard.set(Moment::now());
+    /// Handles a heartbeat; only its arrival counts if a later one has been handled.
+    pub(super) fn handle_heartbeat(&self, sequence: u64, record: WorkerRecord) {
+        self.last_contact.set(Moment::now());
         if sequence < self.sequence.get() {
             return;
         }
         self.sequence.set(sequence);
-        self.account_heard.set(Some(Moment::now()));
+        self.last_heartbeat.set(Some(Moment::now()));
         let mut known = self.record.borrow_mut();
         if !known.draining && record.draining {
             log::info!(
-                "event=J161 worker drains worker={} leaves_at={}",
+                "event=J161 worker is draining worker={} leaves_at={}",
                 self.instance,
                 record.leaves_at
             );
         }
-        // A later heartbeat says the same departure in other words; the first one stands.
+        // Later heartbeats report the same departure with a different time; the first one counts.
         let leaves_at = if known.draining { known.leaves_at } else { record.leaves_at };
         let departed = known.departed;
         let draining = departed || record.draining;
@@ -164,38 +166,39 @@
         }
     }
 
-    /// Compares by when this process first knew of the lives.
-    pub(super) fn found_before(&self, other: &Self) -> std::cmp::Ordering {
-        self.found.cmp(&other.found)
+    /// Compares by when this process discovered the incarnations.
+    pub(super) fn discovered_before(&self, other: &Self) -> std::cmp::Ordering {
+        self.discovered.cmp(&other.discovered)
     }
 
-    /// Takes in that the worker ends now.
-    pub(super) fn leave(&self) {
-        log::info!("event=J162 worker leaves worker={}", self.instance);
-        self.said_goodbye.set(true);
-        self.depart();
+    /// Handles the worker's deregistration: it ends now.
+    pub(super) fn deregister(&self) {
+        log::info!("event=J162 worker deregistered worker={}", self.instance);
+        self.has_deregistered.set(true);
+        self.mark_departed();
     }
 
-    /// Takes in that nobody listens at the worker's address. Once the time of its notice is over, it has most likely
-    /// gone without good-bye. Its leases are renewed no more then, and the store is told so: should this machine go as
-    /// well, the leader gives its runs up by their last lease (6.7 s), not by the agent's silence (22.7 s).
-    pub(super) fn note_refused(&self) {
-        let is_over = {
+    /// Handles a refused connection. A worker that refuses connections after its notice period has
+    /// most likely ended without deregistering. Its leases are not renewed any more, and the store
+    /// records the departure: if this machine is lost too, the leader reassigns the runs when the
+    /// last lease ends (6.7 s) instead of after the agent's silence (22.7 s).
+    pub(super) fn handle_refused(&self) {
+        let has_ended = {
             let record = self.record.borrow();
             record.draining && record.leaves_at <= (self.parts.wall_clock)()
         };
-        if is_over && self.left_at.get().is_none() {
+        if has_ended && self.leaving_since.get().is_none() {
             log::warn!(
-                "event=J178 worker gone after its notice worker={} runs={}",
+                "event=J178 worker refuses connections after its notice period worker={} runs={}",
                 self.instance,
                 self.runs.borrow().open.len()
             );
-            self.depart();
+            self.mark_departed();
         }
     }
 
-    fn depart(&self) {
-        self.left_at.set(Some(Instant::now()));
+    fn mark_departed(&self) {
+        self.leaving_since.set(Some(Instant::now()));
         {
             let mut record = self.record.borrow_mut();
             record.draining = true;
@@ -204,67 +207,68 @@
         self.parts.freshness.notify();
     }
 
-    /// Takes in that another life of the worker has been heard of, by its name if that is known.
+    /// Ends the incarnation because another one of the worker is known, by its id if `by` tells it.
     pub(super) fn replace(&self, by: Option<InstanceId>) {
         if by.is_some() {
             self.successor.replace(by);
         }
-        self.end(LifeEnd::Replaced);
+        self.end(EndCause::Replaced);
     }
 
-    /// Takes in that the worker's life is certainly over.
-    pub(super) fn end(&self, why: LifeEnd) {
-        if self.is_over() {
+    /// Marks the incarnation as certainly ended.
+    pub(super) fn end(&self, why: EndCause) {
+        if self.has_ended() {
             return;
         }
-        self.over.set(Some(why));
+        self.end_cause.set(Some(why));
         let names = self.runs.borrow().describe_open();
         log::warn!(
-            "event=J163 worker life over worker={} runs={} why={} draining={} heard_ms={} names={names:?}",
+            "event=J163 worker incarnation ended worker={} runs={} why={} draining={} heard_ms={} names={names:?}",
             self.instance,
             self.runs.borrow().open.len(),
-            why.word(),
+            why.as_str(),
             self.is_draining(),
-            self.heard.get().elapsed().as_millis()
+            self.last_contact.get().elapsed().as_millis()
         );
         self.wake.notify_waiters();
         self.parts.freshness.notify();
     }
 
-    /// Ends all work for the life without telling the store.
+    /// Ends all work for the incarnation without writing to the store.
     pub(super) fn abandon(&self) {
         self.is_abandoned.set(true);
         self.abandoned.notify_one();
     }
 
-    /// Waits until the life is abandoned.
+    /// Waits until the incarnation is abandoned.
     pub(super) async fn abandoned(&self) {
         self.abandoned.notified().await;
     }
 
-    /// Returns whether the life is over.
-    pub(super) fn is_over(&self) -> bool {
-        self.over.get().is_some() || self.is_abandoned.get()
+    /// Returns whether the incarnation has ended or was abandoned.
+    pub(super) fn has_ended(&self) -> bool {
+        self.end_cause.get().is_some() || self.is_abandoned.get()
     }
 
-    /// Returns whether no heartbeat of this life counts any more, should one still arrive.
-    pub(super) fn is_over_for_good(&self) -> bool {
-        matches!(self.over.get(), Some(LifeEnd::Replaced | LifeEnd::Left))
+    /// Returns whether heartbeats of this incarnation that still arrive are to be ignored.
+    pub(super) fn has_ended_for_good(&self) -> bool {
+        matches!(self.end_cause.get(), Some(EndCause::Replaced | EndCause::Left))
     }
 
-    /// Returns whether nothing is lost if this process ends now: all ends, and a departure, are in
-    /// the store.
+    /// Returns whether nothing is lost if this process ends now: the store holds all ends of runs,
+    /// and a departure.
     pub(super) fn is_settled(&self) -> bool {
-        self.left_at.get().is_none() && !self.is_over() && self.storing_ends.get() == 0
+        self.leaving_since.get().is_none() && !self.has_ended() && self.appends_in_flight.get() == 0
     }
 
-    /// Returns whether the worker drains or has said good-bye.
+    /// Returns whether the worker is draining or leaving.
     pub(super) fn is_draining(&self) -> bool {
-        self.record.borrow().draining || self.left_at.get().is_some()
+        self.record.borrow().draining || self.leaving_since.get().is_some()
     }
 
-    /// Returns whether operators have drained the worker's failure domain. Held against each start, also
-    /// one that was assigned before, or by a leader that didn't know it.
+    /// Returns whether operators have drained the worker's failure domain. Checked before each
+    /// start, since the run may have been assigned before the drain, or by a leader that hadn't
+    /// read it.
     pub(super) fn is_in_drained_domain(&self) -> bool {
         self.parts.table.borrow().is_in_drained_domain(&self.record.borrow())
     }
@@ -273,34 +277,35 @@
     pub(super) fn may_renew(&self) -> bool {
         let table = self.parts.table.borrow();
         !table.evicted.contains(&self.instance)
-            && self.left_at.get().is_none()
+            && self.leaving_since.get().is_none()
             && self.parts.freshness.is_within(self.parts.settings.max_renewal_table_age)
-            && self.heard.get().elapsed() < self.parts.settings.silence_timeout
+            && self.last_contact.get().elapsed() < self.parts.settings.silence_timeout
     }
 
-    /// Returns whether all leases that were ordered have surely ended.
-    pub(super) fn leases_have_lapsed(&self) -> bool {
+    /// Returns whether all leases that this process ordered have certainly ended.
+    pub(super) fn leases_have_expired(&self) -> bool {
         self.lease_sent.get().elapsed() > self.parts.settings.lease_expiry
     }
 
-    /// Returns the time by the worker's clock until which a lease may last, if it is known.
+    /// Returns until when a lease may last, by the worker's clock; `None` before the worker's first
+    /// listing.
     pub(super) fn lease_until(&self) -> Option<WorkerMillis> {
         let (clock, at) = self.clock.get()?;
         let now = clock + at.elapsed().as_millis() as u64;
         Some(now + self.parts.settings.lease.as_millis() as u64)
     }
 
-    /// Returns what the worker has in all, by its own account.
+    /// Returns the worker's total capacity, as it last reported it.
     pub(super) fn capacity(&self) -> Resources {
         self.record.borrow().capacity
     }
 
-    /// Returns the fencing token of orders.
+    /// Returns the fencing token for orders to this incarnation.
     pub(super) fn fencing_token(&self) -> FencingToken {
         self.token_for(&self.instance)
     }
 
-    /// Returns the fencing token of orders for a life of the worker.
+    /// Returns the fencing token for orders to an incarnation of the worker.
     pub(super) fn token_for(&self, instance: &str) -> FencingToken {
         fencing::token(
             (self.parts.incarnation_start)(instance),
@@ -308,26 +313,26 @@
         )
     }
 
-    /// Returns whether runs may exist.
+    /// Returns whether the worker may have runs.
     #[must_use]
     pub fn has_runs(&self) -> bool {
         !self.runs.borrow().open.is_empty()
     }
 
-    /// Counts the ends that are remembered.
+    /// Counts the ended runs that are remembered.
     pub(super) fn remembered_ends(&self) -> usize {
-        self.runs.borrow().over.len()
+        self.runs.borrow().ended.len()
     }
 
-    /// Forgets ends of jobs that the store no longer holds.
+    /// Forgets ended runs of jobs that the store no longer holds.
     pub(super) fn forget_removed_jobs(&self) {
         let table = self.parts.table.borrow();
         let mut runs = self.runs.borrow_mut();
-        runs.over.retain(|(task, _)| table.jobs.contains_key(&task.job));
+        runs.ended.retain(|(task, _)| table.jobs.contains_key(&task.job));
         runs.never_started.retain(|(task, _)| table.jobs.contains_key(&task.job));
     }
 
-    /// Returns what the agent sees of its worker.
+    /// Returns a progress report on the worker's runs.
     #[must_use]
     pub fn report(&self) -> ProgressReport {
         let runs = self.runs.borrow();
@@ -339,39 +344,41 @@
             ran_ms: (run.listed_at - run.known_since).as_millis() as u64,
             checkpoint: run.checkpoint.clone(),
         });
-        let silent_ms = self.heard.get().elapsed().as_millis() as u64;
+        let silent_ms = self.last_contact.get().elapsed().as_millis() as u64;
         ProgressReport { silent_ms, runs: runs.collect() }
     }
 
-    /// Serves the life until it is over and the store knows so.
+    /// Serves the incarnation until it has ended and the store shows that.
     pub(super) async fn run(self: &Rc<Self>) {
         tokio::select! {
             () = self.give_orders() => {}
-            () = self.renew_for_ever() => {}
-            () = self.look_until_listed() => {}
-            () = self.register_for_ever() => {}
-            () = self.watch_leaving() => {}
+            () = self.renew_forever() => {}
+            () = self.poll_until_listed() => {}
+            () = self.register_forever() => {}
+            () = self.watch_departure() => {}
         }
-        if self.over.get() == Some(LifeEnd::Replaced) {
-            self.clear_successor().await;
+        if self.end_cause.get() == Some(EndCause::Replaced) {
+            self.stop_runs_at_successor().await;
         }
         self.unregister().await;
     }
 
-    /// Ends the life of a worker that leaves once its leases have surely lapsed, or nobody listens at its address
-    /// any more after its good-bye. Without that a refused call is no proof: its runs may outlive its listener.
-    async fn watch_leaving(self: &Rc<Self>) {
-        while !self.is_over() {
-            if self.left_at.get().is_none() {
-                tokio::time::sleep(LOOK_INTERVAL).await;
+    /// Ends a leaving incarnation once its leases have certainly expired, or once nothing listens
+    /// at its address after a deregistration. Without a deregistration a refused call proves
+    /// nothing: the runs may outlive the listener.
+    async fn watch_departure(self: &Rc<Self>) {
+        while !self.has_ended() {
+            if self.leaving_since.get().is_none() {
+                tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
-            if self.leases_have_lapsed() || (self.said_goodbye.get() && self.nobody_listens().await)
+            if self.leases_have_expired()
+                || (self.has_deregistered.get() && self.refuses_connections().await)
             {
-                self.end(LifeEnd::Left);
+                self.end(EndCause::Left);
                 return;
             }
-            tokio::time::sleep(DEPARTURE_LOOK).await;
+            tokio::time::sleep(DEPARTURE_CHECK_INTERVAL).await;
         }
     }
 }
--- a/crates/rampbay-jobs/src/agent/orders.rs
+++ b/crates/rampbay-jobs/src/agent/orders.rs
@@ -1,4 +1,4 @@
-//! Gives the worker the orders that make its runs what the table wants.
+//! Orders the starts and stops that bring the worker's runs in line with the table.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,18 +16,19 @@
 use super::room::Fit;
 use super::runs::{Phase, Run, RunKey};
 
-/// Longest time between two looks at what has to be done.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause before a start that met a higher fencing token, or a wrong clock, is tried again.
+/// Longest time between two checks of what has to be ordered.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Pause before a start is retried that was rejected for its fencing token or for a lease that had
+/// ended by the worker's clock.
 const START_RETRY: Duration = Duration::from_millis(100);
-/// How often a start without answer is ordered again before it is given up.
+/// How often an unanswered start is repeated before the agent gives it up.
 const START_REPEATS: u32 = 2;
-/// How often a start that an unwell worker turned away is ordered again before it is given up.
+/// How often a start that an unhealthy worker rejected is repeated before the agent gives it up.
 const REFUSED_REPEATS: u32 = 3;
-/// Pause before such a start is ordered again.
+/// Pause before a start that an unhealthy worker rejected is repeated.
 const REFUSED_RETRY: Duration = Duration::from_millis(60);
 
-/// A run that the table wants.
+/// A run that the table assigns to this incarnation.
 pub(super) struct Wanted {
     pub(super) key: RunKey,
     payload: String,
@@ -35,24 +36,24 @@
 }
 
 impl Incarnation {
-    /// Gives orders until the life is over.
+    /// Orders starts and stops until the incarnation has ended.
     pub(super) async fn give_orders(self: &Rc<Self>) {
         let mut changes = self.parts.freshness.subscribe();
-        while !self.is_over() {
+        while !self.has_ended() {
             changes.borrow_and_update();
             let mut held_back = self.held_back();
             if self.listed.get() && self.parts.freshness.age().is_some() {
-                self.settle_given_up();
+                self.hand_back_reassigned();
                 held_back = held_back.or_else(|| self.start_wanted());
-                self.take_up_unknown_stops();
+                self.adopt_unknown_stops();
                 self.stop_unwanted();
             }
-            self.tell_held_back(held_back);
-            let _ = tokio::time::timeout(LOOK_INTERVAL, changes.changed()).await;
+            self.log_held_back(held_back);
+            let _ = tokio::time::timeout(CHECK_INTERVAL, changes.changed()).await;
         }
     }
 
-    /// Starts what the table wants. Returns why some of it has to wait, if it does.
+    /// Starts the runs that the table assigns. Returns why some of them have to wait, if they do.
     fn start_wanted(self: &Rc<Self>) -> Option<HeldBack> {
         let mut held_back = None;
         for wanted in self.wanted() {
@@ -60,39 +61,41 @@
                 held_back = Some(HeldBack::OtherAttempt);
                 continue;
             }
-            let is_kept_off = self.is_draining() || self.is_in_drained_domain();
-            let fit = self.room_for(&wanted.key);
+            let is_blocked = self.is_draining() || self.is_in_drained_domain();
+            let fit = self.check_fit(&wanted.key);
             if fit == Fit::Unknown {
                 held_back = Some(HeldBack::UnknownRoom);
                 continue;
             }
-            if is_kept_off || fit == Fit::No {
+            if is_blocked || fit == Fit::No {
                 self.report_end(PendingEnd::unlisted(wanted.key, EndReason::NotStarted));
                 continue;
             }
             let run = Run::new(Phase::Starting);
             self.runs.borrow_mut().open.insert(wanted.key.clone(), run);
             self.wake.notify_waiters();
-            let life = Rc::clone(self);
-            tokio::task::spawn_local(async move { life.start(wanted).await });
+            let incarnation = Rc::clone(self);
+            tokio::task::spawn_local(async move { incarnation.start(wanted).await });
         }
         held_back
     }
 
-    /// Returns whether another attempt of a task may run here still. It is looked at again once that has ended:
-    /// two attempts at one worker are two runs of the task.
+    /// Returns whether another attempt of a task may still be running at this worker. The run is
+    /// checked again once that attempt has ended: two attempts at one worker would be two runs of
+    /// the task.
     fn has_other_attempt(&self, key: &RunKey) -> bool {
         let runs = self.runs.borrow();
         let mut others =
             runs.open.keys().filter(|(task, attempt)| *task == key.0 && *attempt != key.1);
-        others.any(|other| !runs.over.contains(other))
+        others.any(|other| !runs.ended.contains(other))
     }
 
     pub(super) fn is_evicted(&self) -> bool {
         self.parts.table.borrow().evicted.contains(&self.instance)
     }
 
-    /// Lists the runs that the table wants and that this life has never had.
+    /// Lists the runs that the table assigns to this incarnation and that it has neither open nor
+    /// ended.
     pub(super) fn wanted(&self) -> Vec<Wanted> {
         let table = self.parts.table.borrow();
         let runs = self.runs.borrow();
@@ -103,7 +106,7 @@
             for (task_id, task) in plan.tasks(id) {
                 let is_mine = task.status == TaskStatus::Running && task.instance == self.instance;
                 let key = (task_id, task.attempt);
-                if !is_mine || runs.open.contains_key(&key) || runs.over.contains(&key) {
+                if !is_mine || runs.open.contains_key(&key) || runs.ended.contains(&key) {
                     continue;
                 }
                 let (task_id, attempt) = &key;
@@ -128,7 +131,7 @@
                 tokio::time::sleep(START_RETRY).await;
                 continue;
             };
-            if !self.still_wants(&wanted.key) || self.room_for(&wanted.key) != Fit::Yes {
+            if !self.still_wants(&wanted.key) || self.check_fit(&wanted.key) != Fit::Yes {
                 self.give_up_start(wanted.key, unanswered);
                 return;
             }
@@ -154,7 +157,7 @@
                 self.parts.freshness.age().unwrap_or_default().as_millis()
             );
             if may_have_begun_by(&outcome) {
-                self.note_may_have_begun(&wanted.key);
+                self.mark_may_have_begun(&wanted.key);
             }
             match outcome {
                 Ok(Started::Yes) => {
@@ -166,8 +169,9 @@
                     tokio::time::sleep(START_RETRY).await;
                 }
                 Ok(Started::No(Refusal::Superseded)) => {
-                    // It has ended there: the list of ends says how, unless the store knows it.
-                    self.settle_as_stopped(&wanted.key);
+                    // The run has ended at the worker, whose list of ends says how, unless the
+                    // store holds that end already.
+                    self.mark_stop_answered(&wanted.key);
                     return;
                 }
                 Ok(Started::No(Refusal::Unhealthy)) if refused < REFUSED_REPEATS => {
@@ -182,7 +186,7 @@
                     self.replace(by);
                     return;
                 }
-                // The same run is started once, however often it is ordered.
+                // A repeat is safe: the worker starts the same run only once.
                 Err(_) if unanswered < START_REPEATS => unanswered += 1,
                 Err(_) => {
                     self.give_up_start(wanted.key, unanswered + 1);
@@ -192,34 +196,35 @@
         }
     }
 
-    /// Gives a start up. Only where every order of it was answered has it surely not started;
-    /// otherwise it goes through a stop.
+    /// Gives up a start. The run is reported as not started only if every order for it was
+    /// answered; otherwise it may have started, and has to be stopped first.
     fn give_up_start(self: &Rc<Self>, key: RunKey, unanswered: u32) {
         if unanswered > 0 {
             self.set_phase(&key, Phase::Unanswered(Instant::now()));
-            let life = Rc::clone(self);
-            tokio::task::spawn_local(async move { life.look_for(&key).await });
+            let incarnation = Rc::clone(self);
+            tokio::task::spawn_local(async move { incarnation.poll_for(&key).await });
         } else {
             self.report_end(PendingEnd::unlisted(key, EndReason::NotStarted));
         }
     }
 
-    /// Looks whether a start without answer was carried out, before it is stopped: the call that waits for an end
-    /// wouldn't show it for a second. Stopped unseen, it would take its whole gang with it.
-    async fn look_for(self: &Rc<Self>, key: &RunKey) {
-        self.set_look_in_flight(key, true);
-        self.look().await;
-        self.set_look_in_flight(key, false);
+    /// Polls the worker for a run whose start got no answer, before that run is stopped: the
+    /// renewal that waits for an end wouldn't show the run for a second. A run that is there would
+    /// be stopped, and its whole gang with it.
+    async fn poll_for(self: &Rc<Self>, key: &RunKey) {
+        self.set_poll_in_flight(key, true);
+        self.poll().await;
+        self.set_poll_in_flight(key, false);
         self.parts.freshness.notify();
     }
 
-    fn set_look_in_flight(&self, key: &RunKey, is_in_flight: bool) {
+    fn set_poll_in_flight(&self, key: &RunKey, is_in_flight: bool) {
         if let Some(run) = self.runs.borrow_mut().open.get_mut(key) {
-            run.look_in_flight = is_in_flight;
+            run.poll_in_flight = is_in_flight;
         }
     }
 
-    fn note_may_have_begun(&self, key: &RunKey) {
+    fn mark_may_have_begun(&self, key: &RunKey) {
         if let Some(run) = self.runs.borrow_mut().open.get_mut(key) {
             run.may_have_begun = true;
         }
@@ -236,7 +241,8 @@
 
     fn set_phase(&self, key: &RunKey, phase: Phase) {
         if let Some(run) = self.runs.borrow_mut().open.get_mut(key) {
-            // A listing may have shown it running before the order's answer came, or didn't.
+            // A listing may show the run as running before the start's answer arrives, or without
+            // any answer.
             if run.phase != Phase::Running {
                 run.phase = phase;
             }
@@ -244,8 +250,9 @@
     }
 }
 
-/// Returns whether a run may have begun by an order. A worker that answers otherwise has done nothing, and one that
-/// nobody listens for hasn't got the order: what was only assigned to a crashed worker isn't suspected for it.
+/// Returns whether the run may have begun, given the outcome of its start. A worker that gives
+/// another answer has started nothing, and a refused connection means that the order didn't arrive.
+/// So runs that were only assigned to a crashed worker aren't suspected of the crash.
 const fn may_have_begun_by(outcome: &Result<Started, WorkerError>) -> bool {
     matches!(outcome, Ok(Started::Yes) | Err(WorkerError::NoAnswer))
 }
--- a/crates/rampbay-jobs/src/agent/registering.rs
+++ b/crates/rampbay-jobs/src/agent/registering.rs
@@ -1,4 +1,4 @@
-//! Keeps the state's registration of a worker, from its first to its certain end.
+//! Registers a worker in the state, keeps the registration up to date and removes it at the end.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,19 +12,21 @@
 
 use super::incarnation::Incarnation;
 
-/// Pause before the store is asked again to keep a registration.
+/// Pause before a failed append is retried.
 const REGISTER_RETRY: Duration = Duration::from_millis(300);
-/// How long a later process of the same machine is left alone that has registered the worker: more than a process
-/// takes to end, less than the 3.5 s of silence after which a worker gets nothing.
+/// How long this process leaves the registration to a later process of the same machine: longer
+/// than a process takes to end, shorter than the 3.5 s of silence after which a worker gets no more
+/// runs.
 const YIELD_TIME: Duration = Duration::from_millis(2000);
 
 impl Incarnation {
-    /// Keeps the store's record of the worker like the worker's own account.
-    pub(super) async fn register_for_ever(&self) {
+    /// Keeps the worker's registration in line with its heartbeats; returns only when the process
+    /// shuts down.
+    pub(super) async fn register_forever(&self) {
         let mut changes = self.parts.freshness.subscribe();
         loop {
             changes.borrow_and_update();
-            self.tell_missing_registration();
+            self.log_missing_registration();
             if !self.needs_registration() {
                 if changes.changed().await.is_err() {
                     return;
@@ -35,8 +37,8 @@
             let records = self.registration_records();
             match self.parts.store.append(STATE_TOPIC, &records, None).await {
                 Ok(end) => {
-                    self.kept_number.set(self.number.get());
-                    self.tell_registered(end, records.len());
+                    self.stored_number.set(self.number.get());
+                    self.log_registered(end, records.len());
                     self.parts.freshness.reach(end).await;
                 }
                 Err(_) => tokio::time::sleep(REGISTER_RETRY).await,
@@ -44,9 +46,9 @@
         }
     }
 
-    /// Returns what registers the worker in place of what other processes wrote. The registration of a release
-    /// that knew no numbers stays until the life ends: to a leader of that release its removal would mean that
-    /// the worker is gone.
+    /// Returns the records that register the worker and remove registrations by other processes.
+    /// The registration of a release without registration numbers stays until the incarnation ends:
+    /// a leader of that release would take its removal to mean that the worker is gone.
     fn registration_records(&self) -> Vec<KeyedRecord> {
         let table = self.parts.table.borrow();
         let number = self.take_number(&table);
@@ -63,7 +65,7 @@
         records
     }
 
-    fn tell_registered(&self, position: Offset, records: usize) {
+    fn log_registered(&self, position: Offset, records: usize) {
         log::info!(
             "event=J173 worker registered worker={} number={} position={position} records={records}",
             self.instance,
@@ -71,13 +73,14 @@
         );
     }
 
-    /// Takes a number for this life, or the one that follows where the worker comes back.
+    /// Takes a registration number for this incarnation, or the next one if the worker is
+    /// registered again.
     fn take_number(&self, table: &JobTable) -> RegistrationNumber {
-        let comes_back =
+        let is_returning =
             table.evicted.contains(&self.instance) || !table.workers.contains_key(&self.instance);
         let number = match self.number.get() {
             None => number_at(self.parts.freshness.position(), (self.parts.wall_clock)()),
-            Some(number) if comes_back && self.kept_number.get() == Some(number) => {
+            Some(number) if is_returning && self.stored_number.get() == Some(number) => {
                 next_number(number)
             }
             Some(number) => number,
@@ -87,8 +90,8 @@
         number
     }
 
-    /// Waits if a later process of this machine has registered the worker: for a moment two may be there, and
-    /// would take the registration from each other as fast as the store answers.
+    /// Waits if a later process of this machine has registered the worker. Two processes may exist
+    /// for a moment, and would replace each other's registration as fast as the store answers.
     async fn yield_to_later_process(&self) {
         let newest = {
             let table = self.parts.table.borrow();
@@ -104,8 +107,9 @@
         }
     }
 
-    /// Returns whether the worker is registered by this process. Before that nothing is started: what an
-    /// earlier process wrote and the store hasn't carried out yet may be about the runs that are assigned.
+    /// Returns whether this process has registered the worker. Nothing is started before that:
+    /// appends of an earlier process that are still in flight may be about the runs that are
+    /// assigned.
     pub(super) fn is_registered(&self) -> bool {
         self.is_registered_in(&self.parts.table.borrow())
     }
@@ -115,8 +119,8 @@
         newest.is_some_and(|(number, _)| Some(number) == self.number.get())
     }
 
-    /// Tells once when the state no longer holds the worker, though its life goes on here.
-    fn tell_missing_registration(&self) {
+    /// Logs once when the table no longer holds the worker although the incarnation goes on.
+    fn log_missing_registration(&self) {
         let is_known = self.parts.table.borrow().workers.contains_key(&self.instance);
         let was_known = self.was_registered.replace(is_known);
         if was_known && !is_known {
@@ -130,61 +134,66 @@
     }
 
     fn needs_registration(&self) -> bool {
-        if self.is_over() || !self.listed.get() || self.parts.freshness.age().is_none() {
+        if self.has_ended() || !self.listed.get() || self.parts.freshness.age().is_none() {
             return false;
         }
         let table = self.parts.table.borrow();
-        let is_empty = !self.has_runs() && !self.storing.get();
+        let is_empty = !self.has_runs() && !self.listed_append_in_flight.get();
         if table.evicted.contains(&self.instance) {
             return is_empty;
         }
         match table.workers.get(&self.instance) {
-            Some(known) => **known != *self.record.borrow() || !self.is_registered_alone(&table),
-            // Its runs are being given up. It comes back without any, and only once no account names it:
-            // what is still to be given up would be started here as well.
+            Some(known) => **known != *self.record.borrow() || !self.is_sole_registration(&table),
+            // The registration is gone, so the leader is reassigning the worker's runs. The worker
+            // is registered again only once it has no runs and no job's plan names it: otherwise
+            // the runs that are still to be reassigned would be started here too.
             None => is_empty && !table.names_worker(&self.instance),
         }
     }
 
-    fn is_registered_alone(&self, table: &JobTable) -> bool {
+    fn is_sole_registration(&self, table: &JobTable) -> bool {
         let mut numbers = table.registrations().numbers(&self.instance);
         let own = self.number.get();
         self.is_registered_in(table) && numbers.all(|number| number == 0 || Some(number) == own)
     }
 
-    /// Returns what ends all registrations of the worker that are known, also those of them that land later.
+    /// Returns the records that end all known registrations of the worker, including any of them
+    /// that land later.
     fn removal_records(&self) -> Vec<KeyedRecord> {
         let table = self.parts.table.borrow();
         let known = table.registrations().numbers(&self.instance);
         let numbers: BTreeSet<RegistrationNumber> = known.chain(self.number.get()).collect();
         let newest = numbers.last().copied();
-        let over = newest.map(|number| Record::Over(self.instance.clone(), number).encode());
-        // It goes when that end goes.
-        let life = || Record::LifeOver(self.instance.clone(), Box::new(self.life_over())).encode();
-        let life = over.is_some().then(life);
+        let registrations_end =
+            newest.map(|number| Record::Over(self.instance.clone(), number).encode());
+        // Written only with the record that ends the registrations, since both are removed
+        // together.
+        let incarnation_end =
+            || Record::LifeOver(self.instance.clone(), Box::new(self.describe_end())).encode();
+        let incarnation_end = registrations_end.is_some().then(incarnation_end);
         let keys = numbers.into_iter().map(|number| worker_key(&self.instance, number));
         keys.chain(table.eviction_keys(&self.instance))
             .map(removal)
-            .chain(over)
-            .chain(life)
+            .chain(registrations_end)
+            .chain(incarnation_end)
             .collect()
     }
 
-    /// Returns how the life ended, for the leader: what may have crashed it.
-    fn life_over(&self) -> LifeOver {
-        let runs = self.listed.get().then(|| self.runs.borrow().begun());
+    /// Tells the leader how the incarnation ended and which runs may have crashed it.
+    fn describe_end(&self) -> LifeOver {
+        let runs = self.listed.get().then(|| self.runs.borrow().unfinished());
         LifeOver { gave_notice: self.is_draining(), runs }
     }
 
-    /// Ends all registrations of the worker, and waits until the table shows it.
+    /// Ends all registrations of the worker, and waits until the table shows that.
     pub(super) async fn unregister(&self) {
         loop {
             let records = self.removal_records();
             if let Ok(end) = self.parts.store.append(STATE_TOPIC, &records, None).await {
                 let report = removal(self.instance.clone());
-                // A report that stays is passed over: its worker is gone.
+                // If this fails, the remaining report is ignored, since its worker is gone.
                 let _ = self.parts.store.report(&[report]).await;
-                // Until the table shows it, the life would be taken up again.
+                // Until the table shows the removal, the host would adopt the incarnation again.
                 self.parts.freshness.reach(end).await;
                 return;
             }
--- a/crates/rampbay-jobs/src/agent/renewals.rs
+++ b/crates/rampbay-jobs/src/agent/renewals.rs
@@ -1,4 +1,4 @@
-//! Renews leases and learns what runs and what has ended.
+//! Renews leases, and processes the worker's lists of running and ended runs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,27 +10,29 @@
 use crate::worker::{Listing, RenewOrder, WorkerError};
 
 use super::ends::PendingEnd;
-use super::incarnation::{Incarnation, LifeEnd};
+use super::incarnation::{EndCause, Incarnation};
 use super::runs::{Phase, Run, RunKey, Runs};
 
-/// Pause after a call without answer.
+/// Pause after a call without an answer.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Pause while ends are on their way to the store, during which the worker would answer at once.
+/// Pause while listed ends are being appended to the store; the worker would answer a renewal at
+/// once until they are acknowledged.
 const STORING_PAUSE: Duration = Duration::from_millis(100);
-/// Pause between looks at a life that hasn't answered yet: until it has seen an order of its own, it carries out late
-/// ones for the life before.
-const FIRST_LOOK_PAUSE: Duration = Duration::from_millis(50);
-/// Most such looks: in a second the usual calls have followed each other too.
-const MOST_FIRST_LOOKS: u32 = 20;
-/// Time after which an idle worker is looked at, whether it sends heartbeats or not: a start that was given up may be
-/// carried out late, and a heartbeat doesn't tell what runs.
-const IDLE_LOOK: Duration = Duration::from_millis(2000);
+/// Pause between polls of an incarnation that hasn't answered yet. Until it has seen a call meant
+/// for it, it carries out late orders for its predecessor.
+const FIRST_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Most such polls. They cover a second, after which the regular calls have followed each other as
+/// well.
+const MAX_FIRST_POLLS: u32 = 20;
+/// Time after which an idle worker is polled, even if its heartbeats arrive: a start that was given
+/// up may be carried out late, and heartbeats don't list runs.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(2000);
 
 impl Incarnation {
-    /// Renews and lists until the life is over.
-    pub(super) async fn renew_for_ever(self: &Rc<Self>) {
-        while !self.is_over() {
-            if !self.needs_look() {
+    /// Renews leases and processes listings until the incarnation has ended.
+    pub(super) async fn renew_forever(self: &Rc<Self>) {
+        while !self.has_ended() {
+            if !self.needs_poll() {
                 let _ =
                     tokio::time::timeout(Duration::from_millis(500), self.wake.notified()).await;
                 continue;
@@ -41,62 +43,63 @@
                 self.lease_sent.set(sent);
             }
             let outcome = self.worker.renew(&order).await;
-            self.tell_noting(&order, outcome.as_ref().err());
+            self.log_acknowledgement(&order, outcome.as_ref().err());
             match outcome {
                 Ok(listing) => {
-                    self.noted.set(self.noted.get().max(order.last_seen));
-                    self.take_in(&listing, sent);
-                    if self.storing.get() {
+                    self.acknowledged.set(self.acknowledged.get().max(order.last_seen));
+                    self.handle_listing(&listing, sent);
+                    if self.listed_append_in_flight.get() {
                         tokio::time::sleep(STORING_PAUSE).await;
                     }
                 }
                 Err(WorkerError::OtherLife(by)) => self.replace(by),
                 Err(error @ (WorkerError::NoAnswer | WorkerError::Refused)) => {
                     if error == WorkerError::Refused {
-                        self.note_refused();
+                        self.handle_refused();
                     }
-                    self.judge_silence();
+                    self.end_if_silent();
                     tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Looks again and again until the life has answered once, beside the calls that wait for their answers; then waits for
-    /// ever.
-    pub(super) async fn look_until_listed(self: &Rc<Self>) {
-        for _ in 0..MOST_FIRST_LOOKS {
-            tokio::time::sleep(FIRST_LOOK_PAUSE).await;
-            if self.listed.get() || self.is_over() {
+    /// Polls the worker until the incarnation has answered once, without waiting for earlier polls;
+    /// then never returns.
+    pub(super) async fn poll_until_listed(self: &Rc<Self>) {
+        for _ in 0..MAX_FIRST_POLLS {
+            tokio::time::sleep(FIRST_POLL_INTERVAL).await;
+            if self.listed.get() || self.has_ended() {
                 break;
             }
-            let life = Rc::clone(self);
-            tokio::task::spawn_local(async move { life.look().await });
+            let incarnation = Rc::clone(self);
+            tokio::task::spawn_local(async move { incarnation.poll().await });
         }
         std::future::pending::<()>().await;
     }
 
-    fn needs_look(&self) -> bool {
+    fn needs_poll(&self) -> bool {
         !self.listed.get()
             || self.has_runs()
-            || self.noted.get() < self.last_seen.get()
-            || self.looked.get().elapsed() > IDLE_LOOK
+            || self.acknowledged.get() < self.last_seen.get()
+            || self.last_listing.get().elapsed() > IDLE_POLL_INTERVAL
     }
 
     fn renew_order(&self) -> RenewOrder {
-        // The clock is read before the check: a process that is stopped between the two, and goes on by
-        // what it knew before, so never renews from after the stop.
+        // The worker's clock is read before the check of what this process knows. A process that is
+        // paused between the two then orders a lease that counts from before the pause.
         let lease_until = self.lease_until().filter(|_| self.may_renew());
-        let waits = self.listed.get() && self.has_runs() && !self.storing.get();
+        let waits = self.listed.get() && self.has_runs() && !self.listed_append_in_flight.get();
         let wait = if waits { self.parts.settings.renewal_wait } else { Duration::ZERO };
-        // Said once: a worker that has started again under its name counts its ends anew, and would forget them.
-        let is_noted = self.noted.get() >= self.last_seen.get();
-        let last_seen = if is_noted { 0 } else { self.last_seen.get() };
+        // Each end is acknowledged once: a worker that restarts under the same id numbers its ends
+        // from 1 again, and would forget new ends by a repeated acknowledgement.
+        let is_acknowledged = self.acknowledged.get() >= self.last_seen.get();
+        let last_seen = if is_acknowledged { 0 } else { self.last_seen.get() };
         RenewOrder { lease_until, fencing_token: self.fencing_token(), last_seen, wait }
     }
 
-    /// Returns a call that changes nothing at the worker.
-    fn look_order(&self) -> RenewOrder {
+    /// Returns a call that only lists: it renews no lease and acknowledges no end.
+    fn poll_order(&self) -> RenewOrder {
         RenewOrder {
             lease_until: None,
             fencing_token: self.fencing_token(),
@@ -105,63 +108,63 @@
         }
     }
 
-    /// Looks once, beside the call that waits for an end.
-    pub(super) async fn look(self: &Rc<Self>) {
+    /// Polls the worker once, concurrently with the renewal that waits for an end.
+    pub(super) async fn poll(self: &Rc<Self>) {
         let sent = Instant::now();
-        let order = self.look_order();
+        let order = self.poll_order();
         if let Ok(listing) = self.worker.renew(&order).await {
-            self.take_in(&listing, sent);
+            self.handle_listing(&listing, sent);
         }
     }
 
-    /// Tells of a call that lets the worker forget ends, and whether it was answered: without an answer it may be carried
-    /// out later.
-    fn tell_noting(&self, order: &RenewOrder, error: Option<&WorkerError>) {
+    /// Logs a call that acknowledges ends, and whether it was answered: without an answer it may
+    /// still be carried out later.
+    fn log_acknowledgement(&self, order: &RenewOrder, error: Option<&WorkerError>) {
         if order.last_seen > 0 {
             log::info!(
-                "event=J185 ends noted at the worker worker={} last_seen={} error={error:?}",
+                "event=J185 ends acknowledged at the worker worker={} last_seen={} error={error:?}",
                 self.instance,
                 order.last_seen
             );
         }
     }
 
-    /// Returns whether calls to the worker are turned away for want of a listener.
-    pub(super) async fn nobody_listens(self: &Rc<Self>) -> bool {
-        let order = self.look_order();
+    /// Returns whether the worker's address refuses connections.
+    pub(super) async fn refuses_connections(self: &Rc<Self>) -> bool {
+        let order = self.poll_order();
         self.worker.renew(&order).await.is_err_and(|error| error == WorkerError::Refused)
     }
 
-    /// Ends the life once all its leases have surely lapsed without a sign of the worker.
-    fn judge_silence(&self) {
+    /// Ends the incarnation if the worker is silent and all its leases have certainly expired.
+    fn end_if_silent(&self) {
         let settings = &self.parts.settings;
-        let silent = self.heard.get().elapsed() > settings.silence_timeout;
-        if silent && self.leases_have_lapsed() {
-            self.end(LifeEnd::Silent);
+        let silent = self.last_contact.get().elapsed() > settings.silence_timeout;
+        if silent && self.leases_have_expired() {
+            self.end(EndCause::Silent);
         }
     }
 
-    fn take_in(self: &Rc<Self>, listing: &Listing, sent: Instant) {
+    fn handle_listing(self: &Rc<Self>, listing: &Listing, sent: Instant) {
         let now = Instant::now();
-        self.heard.set(Moment::now());
-        self.looked.set(now);
+        self.last_contact.set(Moment::now());
+        self.last_listing.set(now);
         self.clock.set(Some((listing.clock, now)));
-        self.take_in_running(listing);
-        self.finish_vanished(listing, sent);
-        self.take_in_ended(listing);
-        self.tell_unlisted(listing, sent);
+        self.update_running(listing);
+        self.end_unlisted(listing, sent);
+        self.store_listed_ends(listing);
+        self.log_lost_ends(listing, sent);
         if !self.listed.replace(true) {
             self.parts.freshness.notify();
         }
         self.wake.notify_waiters();
     }
 
-    fn take_in_running(&self, listing: &Listing) {
+    fn update_running(&self, listing: &Listing) {
         let mut runs = self.runs.borrow_mut();
         for progress in &listing.running {
             let key = (progress.task.clone(), progress.attempt);
-            // An answer that was overtaken may show a run whose end has been listed since.
-            let has_ended = runs.over.contains(&key) && !runs.never_started.contains(&key);
+            // An answer that was delayed may list a run whose end a later answer has listed.
+            let has_ended = runs.ended.contains(&key) && !runs.never_started.contains(&key);
             if has_ended && !runs.open.contains_key(&key) {
                 continue;
             }
@@ -174,19 +177,20 @@
         }
     }
 
-    /// Tells once of each run that was listed as running, wasn't stopped, and is in neither list now: its end is forgotten.
-    fn tell_unlisted(&self, listing: &Listing, sent: Instant) {
+    /// Logs once each run that was listed as running, wasn't stopped, and is now in neither list:
+    /// the worker has forgotten its end.
+    fn log_lost_ends(&self, listing: &Listing, sent: Instant) {
         let mut runs = self.runs.borrow_mut();
-        let Runs { open, over, .. } = &mut *runs;
+        let Runs { open, ended, .. } = &mut *runs;
         for (key, run) in open.iter_mut() {
             let was_listed = run.phase == Phase::Running && run.listed_at > run.known_since;
             let is_due = was_listed && run.listed_at < sent && run.stop_answered.is_none();
-            if !is_due || over.contains(key) || is_listed(listing, key) || run.told_unlisted {
+            if !is_due || ended.contains(key) || is_listed(listing, key) || run.logged_lost_end {
                 continue;
             }
-            run.told_unlisted = true;
+            run.logged_lost_end = true;
             log::warn!(
-                "event=J186 run neither running nor ended at its worker task={} attempt={} worker={} percent={} listed_ms={}",
+                "event=J186 run listed neither as running nor as ended task={} attempt={} worker={} percent={} listed_ms={}",
                 key.0,
                 key.1,
                 self.instance,
@@ -196,16 +200,17 @@
         }
     }
 
-    /// Reports runs that a listing made after their stop was answered no longer shows.
-    fn finish_vanished(self: &Rc<Self>, listing: &Listing, sent: Instant) {
-        let vanished: Vec<(RunKey, EndReason)> = {
+    /// Reports the end of stopped runs that are missing from a listing requested after their stop
+    /// was answered.
+    fn end_unlisted(self: &Rc<Self>, listing: &Listing, sent: Instant) {
+        let unlisted: Vec<(RunKey, EndReason)> = {
             let runs = self.runs.borrow();
             let stopped = runs.open.iter().filter(|(key, run)| {
                 run.stop_answered.is_some_and(|at| at < sent) && !is_listed(listing, key)
             });
-            stopped.map(|(key, run)| (key.clone(), reason_of_vanished(run))).collect()
+            stopped.map(|(key, run)| (key.clone(), reason_of_unlisted(run))).collect()
         };
-        for (key, reason) in vanished {
+        for (key, reason) in unlisted {
             self.report_end(PendingEnd::unlisted(key, reason));
         }
     }
@@ -216,6 +221,6 @@
     runs || listing.ended.iter().any(|end| end.task == key.0 && end.attempt == key.1)
 }
 
-fn reason_of_vanished(run: &Run) -> EndReason {
+fn reason_of_unlisted(run: &Run) -> EndReason {
     if run.phase == Phase::Running { EndReason::Stopped } else { EndReason::NotStarted }
 }
--- a/crates/rampbay-jobs/src/agent/room.rs
+++ b/crates/rampbay-jobs/src/agent/room.rs
@@ -1,4 +1,5 @@
-//! Whether a run fits beside what may run at the worker. Workers may start whatever they are told.
+//! Checks that a run fits beside the others at the worker. Workers may start whatever they are
+//! ordered to.
 
 use crate::job::{Resources, Step, TaskId};
 use crate::table::JobTable;
@@ -6,30 +7,31 @@
 use super::incarnation::Incarnation;
 use super::runs::RunKey;
 
-/// Whether there is room for a run.
+/// Whether the worker has capacity for a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fit {
-    /// There is.
+    /// The run fits.
     Yes,
-    /// There isn't, by the worker's latest account of itself.
+    /// The run doesn't fit, by the worker's latest heartbeat.
     No,
-    /// That can't be told yet: this process hasn't heard the worker, or something runs there whose job isn't known, and
-    /// so what it holds. It is being stopped.
+    /// Not known yet: no heartbeat has reached this process, or the worker has a run of an unknown
+    /// job, so that the resources it holds aren't known. Such a run is being stopped.
     Unknown,
 }
 
 impl Incarnation {
-    /// Looks whether a run fits beside all others that may exist here, those that are being stopped among them. Asked
-    /// before each order, also a repeated one: the room may have shrunk since the one before.
-    pub(super) fn room_for(&self, key: &RunKey) -> Fit {
-        if let Some(fit) = self.fit_without_account() {
+    /// Checks whether a run fits beside all others that may exist at the worker, including those
+    /// that are being stopped. Called before each order, even a repeated one, since the capacity
+    /// may have shrunk in between.
+    pub(super) fn check_fit(&self, key: &RunKey) -> Fit {
+        if let Some(fit) = self.fit_without_heartbeat() {
             return fit;
         }
         let table = self.parts.table.borrow();
         let Some(demand) = charge_of(&table, &key.0) else { return Fit::No };
         let mut free = self.capacity();
         let runs = self.runs.borrow();
-        for (held, _) in runs.beside(key) {
+        for (held, _) in runs.others(key) {
             let Some(charge) = charge_of(&table, held) else { return Fit::Unknown };
             free.take(&charge);
         }
@@ -37,24 +39,27 @@
             return Fit::Yes;
         }
         log::warn!(
-            "event=J170 start refused for want of room task={} worker={} free={free:?} demand={demand:?}",
+            "event=J170 start refused for lack of capacity task={} worker={} free={free:?} demand={demand:?}",
             key.0,
             self.instance
         );
         Fit::No
     }
 
-    /// Returns what to take the room for while there is no young account of the worker. What the state says of it may be
-    /// of any age: an earlier process of this machine wrote it.
-    fn fit_without_account(&self) -> Option<Fit> {
-        let heard = self.account_heard.get();
-        if heard.unwrap_or(self.found).elapsed() <= self.parts.settings.max_heartbeat_age {
-            return heard.is_none().then_some(Fit::Unknown);
+    /// Returns the result to use while the worker has sent no recent heartbeat; `None` if it has.
+    /// The state's record of its capacity may be of any age, since an earlier process of this
+    /// machine may have written it.
+    fn fit_without_heartbeat(&self) -> Option<Fit> {
+        let last_heartbeat = self.last_heartbeat.get();
+        if last_heartbeat.unwrap_or(self.discovered).elapsed()
+            <= self.parts.settings.max_heartbeat_age
+        {
+            return last_heartbeat.is_none().then_some(Fit::Unknown);
         }
         log::warn!(
-            "event=J179 start refused, the worker's heartbeats don't get through worker={} heard={}",
+            "event=J179 start refused, no recent heartbeat worker={} heard={}",
             self.instance,
-            heard.is_some()
+            last_heartbeat.is_some()
         );
         Some(Fit::No)
     }
--- a/crates/rampbay-jobs/src/agent/runs.rs
+++ b/crates/rampbay-jobs/src/agent/runs.rs
@@ -1,4 +1,4 @@
-//! The runs that an agent knows of at one life of its worker.
+//! The runs that an agent knows of at one incarnation of its worker.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,47 +7,48 @@
 use crate::job::{Checkpoint, TaskId};
 use crate::losses::LastRun;
 
-/// Names a run: the task and its attempt.
+/// Identifies a run: its task and the number of the attempt.
 pub type RunKey = (TaskId, u32);
 
-/// Where a run stands, as far as the agent knows.
+/// State of a run, as far as the agent knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// A start is on its way.
+    /// A start has been ordered.
     Starting,
-    /// A start got no answer at this time.
+    /// A start may have been carried out without an answer to this process; since when.
     Unanswered(Instant),
-    /// It runs.
+    /// The worker has started the run or lists it.
     Running,
 }
 
 /// A run.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Where it stands.
+    /// Its state.
     pub phase: Phase,
-    /// Whether it may have begun: an order was sent whose fate isn't known, or the worker has shown it.
+    /// Whether the run may have begun: a start is unanswered, or the worker has confirmed or listed
+    /// it.
     pub may_have_begun: bool,
-    /// Whether the worker is being looked at for it, before a start without answer is given up.
-    pub look_in_flight: bool,
-    /// Whether a stop is on its way.
+    /// Whether the worker is being polled for the run, before its unanswered start is given up.
+    pub poll_in_flight: bool,
+    /// Whether a stop is in flight.
     pub stop_in_flight: bool,
-    /// When a stop was answered first.
+    /// When the run's stop was answered, or the worker said that the run has ended.
     pub stop_answered: Option<Instant>,
-    /// How far it was when it was listed last, 0 to 100.
+    /// Progress in percent, 0 to 100, when the run was listed last.
     pub percent: u32,
-    /// When it was heard of first.
+    /// When the agent first knew of the run.
     pub known_since: Instant,
-    /// When it was listed last.
+    /// When the run was listed last.
     pub listed_at: Instant,
-    /// What it saved last.
+    /// The checkpoint that the run saved last.
     pub checkpoint: Checkpoint,
-    /// Whether the log was told that the worker lists neither it nor its end.
-    pub told_unlisted: bool,
+    /// Whether it was logged that the worker lists neither the run nor its end.
+    pub logged_lost_end: bool,
 }
 
 impl Run {
-    /// Makes a run in a phase.
+    /// Creates a run in a phase.
     pub fn new(phase: Phase) -> Self {
         let now = Instant::now();
         Self {
@@ -55,54 +56,55 @@
             may_have_begun: phase != Phase::Starting,
             known_since: now,
             listed_at: now,
-            look_in_flight: false,
+            poll_in_flight: false,
             stop_in_flight: false,
             stop_answered: None,
             percent: 0,
             checkpoint: String::new(),
-            told_unlisted: false,
+            logged_lost_end: false,
         }
     }
 }
 
-/// All runs of a life.
+/// All runs of an incarnation.
 #[derive(Debug, Default)]
 pub struct Runs {
     /// Runs that may exist.
     pub open: BTreeMap<RunKey, Run>,
     /// Runs that have ended, or will never start; never started again.
-    pub over: BTreeSet<RunKey>,
-    /// Those of them that were reported as never started. One that shows up all the same is stopped: the planner
-    /// has started it elsewhere.
+    pub ended: BTreeSet<RunKey>,
+    /// Ended runs that were reported as never started. If the worker lists one as running, it is
+    /// stopped: the planner has started it elsewhere.
     pub never_started: BTreeSet<RunKey>,
 }
 
-/// Most runs that one line of the log names.
-const MOST_NAMED: usize = 8;
+/// Most runs that one log line names.
+const MAX_LOGGED_RUNS: usize = 8;
 
 impl Runs {
-    /// Lists the runs that may have begun and whose end isn't known, with their ages.
-    pub fn begun(&self) -> Vec<LastRun> {
-        let begun =
-            self.open.iter().filter(|(key, run)| run.may_have_begun && !self.over.contains(*key));
-        let begun = begun.map(|((task, attempt), run)| LastRun {
+    /// Lists the runs that may have begun and whose end isn't known.
+    pub fn unfinished(&self) -> Vec<LastRun> {
+        let unfinished =
+            self.open.iter().filter(|(key, run)| run.may_have_begun && !self.ended.contains(*key));
+        let unfinished = unfinished.map(|((task, attempt), run)| LastRun {
             task: task.clone(),
             attempt: *attempt,
             age_ms: run.known_since.elapsed().as_millis() as u64,
             listed_ms: (run.listed_at - run.known_since).as_millis() as u64,
         });
-        begun.collect()
+        unfinished.collect()
     }
 
-    /// Iterates over the runs that may hold room beside one. An end that is listed has freed its room, also while it is
-    /// on its way to the store.
-    pub fn beside<'a>(&'a self, key: &'a RunKey) -> impl Iterator<Item = &'a RunKey> {
-        self.open.keys().filter(move |other| *other != key && !self.over.contains(*other))
+    /// Iterates over the runs other than `key` that may hold resources. A run whose end is listed
+    /// has freed them, even if the store doesn't hold the end yet.
+    pub fn others<'a>(&'a self, key: &'a RunKey) -> impl Iterator<Item = &'a RunKey> {
+        self.open.keys().filter(move |other| *other != key && !self.ended.contains(*other))
     }
 
-    /// Describes runs that may exist, for the log: task, attempt, phase, and milliseconds since it was heard of.
+    /// Describes runs that may exist, for the log: task, attempt, phase, and milliseconds since the
+    /// agent first knew of them.
     pub fn describe_open(&self) -> Vec<String> {
-        let runs = self.open.iter().take(MOST_NAMED);
+        let runs = self.open.iter().take(MAX_LOGGED_RUNS);
         let describe = |((task, attempt), run): (&RunKey, &Run)| {
             let age_ms = run.known_since.elapsed().as_millis();
             format!("{task}/{attempt} {:?} {age_ms}", run.phase)
--- a/crates/rampbay-jobs/src/agent/stops.rs
+++ b/crates/rampbay-jobs/src/agent/stops.rs
@@ -1,4 +1,5 @@
-//! Stops what runs at the worker and isn't wanted, and what may be given up already.
+//! Stops runs that the table doesn't want, and hands back runs that the planner may have
+//! reassigned.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,21 +13,24 @@
 use super::incarnation::Incarnation;
 use super::runs::{Phase, Run, RunKey};
 
-/// Pause between a stop's answer and the look that shows whether a run was there at all.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
-/// Pause before a stop without answer is repeated.
+/// Pause between the answer to a stop and the poll that shows whether the worker had the run at
+/// all.
+const POLL_PAUSE: Duration = Duration::from_millis(5);
+/// Pause before an unanswered stop is repeated.
 const STOP_RETRY: Duration = Duration::from_millis(50);
 
 impl Incarnation {
-    /// Settles runs that may have been given up already: the worker is evicted, or its registration is gone or was
-    /// when they were assigned, or an earlier process of this agent has refused them. The planner may start them
-    /// elsewhere by a decision that is on its way, and a start by an earlier process may still be carried out. So
-    /// each goes through a stop, after which it surely never starts here, and the planner is told so.
-    pub(super) fn settle_given_up(&self) {
-        for wanted in self.wanted().into_iter().filter(|wanted| self.may_be_given_up(&wanted.key)) {
+    /// Hands back runs that the planner may have reassigned: the worker is evicted, its
+    /// registration is gone or was gone when they were assigned, or an earlier process of this
+    /// agent has refused them. The planner may start them elsewhere by a decision that isn't in the
+    /// table yet, and a start by an earlier process may still be carried out. So each of them is
+    /// stopped, after which it certainly never starts here, and its end is reported to the planner.
+    pub(super) fn hand_back_reassigned(&self) {
+        for wanted in self.wanted().into_iter().filter(|wanted| self.may_be_reassigned(&wanted.key))
+        {
             let (task, attempt) = &wanted.key;
             log::info!(
-                "event=J174 run passed back task={task} attempt={attempt} worker={} position={}",
+                "event=J174 run handed back task={task} attempt={attempt} worker={} position={}",
                 self.instance,
                 self.parts.freshness.position()
             );
@@ -35,7 +39,7 @@
         }
     }
 
-    fn may_be_given_up(&self, key: &RunKey) -> bool {
+    fn may_be_reassigned(&self, key: &RunKey) -> bool {
         let table = self.parts.table.borrow();
         table.evicted.contains(&self.instance)
             || !table.workers.contains_key(&self.instance)
@@ -43,9 +47,9 @@
             || table.has_refusal(&key.0, key.1)
     }
 
-    /// Takes up runs that the planner wants stopped and this process never heard of. A start by an
-    /// earlier process may still be on its way, so each goes through a stop like any other.
-    pub(super) fn take_up_unknown_stops(&self) {
+    /// Adopts runs that are to be stopped and that this process doesn't know. A start by an earlier
+    /// process may still be in flight, so they are stopped like any other run.
+    pub(super) fn adopt_unknown_stops(&self) {
         let table = self.parts.table.borrow();
         let mut runs = self.runs.borrow_mut();
         for id in &table.active {
@@ -53,9 +57,9 @@
             for (task_id, task) in plan.tasks(id) {
                 let is_mine = task.status == TaskStatus::Stopping && task.instance == self.instance;
                 let key = (task_id, task.attempt);
-                if is_mine && !runs.over.contains(&key) {
-                    let unheard = || Run::new(Phase::Unanswered(Instant::now()));
-                    runs.open.entry(key).or_insert_with(unheard);
+                if is_mine && !runs.ended.contains(&key) {
+                    let unknown = || Run::new(Phase::Unanswered(Instant::now()));
+                    runs.open.entry(key).or_insert_with(unknown);
                 }
             }
         }
@@ -66,29 +70,33 @@
             if let Some(run) = self.runs.borrow_mut().open.get_mut(&key) {
                 run.stop_in_flight = true;
             }
-            let life = Rc::clone(self);
-            tokio::task::spawn_local(async move { life.stop(key).await });
+            let incarnation = Rc::clone(self);
+            tokio::task::spawn_local(async move { incarnation.stop(key).await });
         }
     }
 
-    /// Lists runs that the table doesn't want, and starts that got no answer for too long.
+    /// Lists runs to stop: those that the table doesn't want, and those whose start stayed
+    /// unanswered for too long.
     fn unwanted(&self) -> Vec<RunKey> {
         let table = self.parts.table.borrow();
         let evicted = table.evicted.contains(&self.instance);
         let runs = self.runs.borrow();
         let unwanted = runs.open.iter().filter(|(key, run)| {
             let (task, attempt) = key;
-            let shows_up = run.phase == Phase::Running && runs.never_started.contains(*key);
-            if runs.over.contains(*key) && !shows_up {
+            let has_reappeared = run.phase == Phase::Running && runs.never_started.contains(*key);
+            if runs.ended.contains(*key) && !has_reappeared {
                 return false;
             }
-            let is_settling = run.stop_in_flight || run.look_in_flight;
+            let is_settling = run.stop_in_flight || run.poll_in_flight;
             if is_settling || run.stop_answered.is_some() || run.phase == Phase::Starting {
                 return false;
             }
             let unanswered = matches!(run.phase, Phase::Unanswered(since)
                 if since.elapsed() > self.parts.settings.unanswered_start_timeout);
-            shows_up || unanswered || evicted || !table.wants_run(&self.instance, task, *attempt)
+            has_reappeared
+                || unanswered
+                || evicted
+                || !table.wants_run(&self.instance, task, *attempt)
         });
         unwanted.map(|(key, _)| key.clone()).collect()
     }
@@ -96,7 +104,7 @@
     async fn stop(self: &Rc<Self>, key: RunKey) {
         let order =
             StopOrder { task: key.0.clone(), attempt: key.1, fencing_token: self.fencing_token() };
-        while !self.is_over() {
+        while !self.has_ended() {
             let order = StopOrder { fencing_token: self.fencing_token(), ..order.clone() };
             let outcome = self.worker.stop(&order).await;
             metrics().ordered("stop");
@@ -112,17 +120,17 @@
                 Err(_) => tokio::time::sleep(STOP_RETRY).await,
             }
         }
-        self.settle_as_stopped(&key);
+        self.mark_stop_answered(&key);
         let runs = |run: &Run| run.phase == Phase::Running;
         if !self.runs.borrow().open.get(&key).is_some_and(runs) {
-            // It may never have started: no end will tell.
-            tokio::time::sleep(LOOK_PAUSE).await;
-            self.look().await;
+            // The run may never have started, in which case the worker lists no end for it.
+            tokio::time::sleep(POLL_PAUSE).await;
+            self.poll().await;
         }
     }
 
-    /// Leaves a run to the next listing: it has ended by now, or never starts.
-    pub(super) fn settle_as_stopped(&self, key: &RunKey) {
+    /// Records that a run has ended or will never start; the next listing shows which.
+    pub(super) fn mark_stop_answered(&self, key: &RunKey) {
         if let Some(run) = self.runs.borrow_mut().open.get_mut(key) {
             run.stop_answered = Some(Instant::now());
             run.stop_in_flight = false;
--- a/crates/rampbay-jobs/src/candidacy.rs
+++ b/crates/rampbay-jobs/src/candidacy.rs
@@ -1,17 +1,19 @@
-//! Who leads: a process stands for leadership while nobody leads.
+//! Leader election: a process stands for election while nobody leads.
 //!
-//! Leadership is membership of a group that the store keeps. The store may deal it anew whenever a process
-//! joins or leaves, and unasked; each change costs a second in which nothing is started. So only the leader
-//! stays in the group: the others learn whether anybody leads, join once nobody does, and leave again where another
-//! one was first. While the leader is the only member, whatever is dealt is dealt to it.
+//! Leadership is membership of a group that the store keeps. The store may assign leadership to
+//! another member whenever a process joins or leaves, and at other times; each change costs a
+//! second in which nothing is started. So only the leader stays in the group. Other processes check
+//! whether anybody leads, join once nobody does, and leave again if another one was first. While
+//! the leader is the only member, leadership can only be assigned to it.
 //!
-//! A few processes ask the store again and again who leads ([`LeaderPollers`]). The others hear of it with what they read
-//! through peers, and ask only once they haven't for a while: so the calls don't grow with the fleet, and a
-//! leader is found also where all of the few are lost with the last one. Those who stand do so one after the other.
+//! A few processes poll the store for the leader ([`LeaderPollers`]). The others learn of it from
+//! their reads through peers, and poll the store only when they have had no such news for a while.
+//! So the number of calls doesn't grow with the number of processes, and a leader is elected even
+//! if all of the few are lost together with the last leader. Candidates stand one after another.
 //!
-//! A leader of hundreds of workers needs a good share of a core and a wide link; a small process that led
-//! would lag behind, and lose its place again and again. So it leaves processes with room time to stand
-//! first, and hands over once one of them answers.
+//! A leader of hundreds of workers needs a good share of a core and a wide link. A small process
+//! that led would lag behind and lose leadership again and again. So a small process gives
+//! well-provisioned ones time to stand first, and hands leadership over once one of them answers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,61 +28,66 @@
 use crate::job::NodeName;
 use crate::store::{Candidacy, Store};
 
-/// Time between two questions of a process with little room whether anybody leads.
-const SMALL_VACANCY_INTERVAL: Duration = Duration::from_millis(1000);
-/// Answers in a row that nobody leads after which such a process stands: one with room asks three times in
-/// that time.
-const SMALL_VACANT_ANSWERS: u32 = 2;
-/// Joins without answer, an interval apart, after which all of them are given up: the leader's time to live, by which its
-/// place has lapsed. What hangs longer could take the place back from whoever leads then.
-const JOIN_INTERVALS: u32 = 3;
-/// Time between two looks of such a process, while it leads, for one with more room.
+/// Polling interval of a small process that checks whether anybody leads.
+const SMALL_POLL_INTERVAL: Duration = Duration::from_millis(1000);
+/// Consecutive answers that nobody leads after which a small process stands. A well-provisioned one
+/// polls three times in that time.
+const SMALL_LEADERLESS_ANSWERS: u32 = 2;
+/// Unanswered joins, one per interval, after which all of them are abandoned: the leader's time to
+/// live, by which its membership has expired. A join that hangs longer could take leadership back
+/// from the process that leads then.
+const MAX_UNANSWERED_JOINS: u32 = 3;
+/// Interval at which a small process that leads looks for a well-provisioned one.
 const HANDOVER_INTERVAL: Duration = Duration::from_millis(2000);
 
-/// Age of the last news that somebody leads from which on a process asks the store itself: what the few who ask
-/// need to stand (1.4 s), and what news takes through three hops (1.3 s).
-const NEWS_AGE: Duration = Duration::from_millis(2700);
-/// Least time between the standing of one process and of the next: a call to the store takes a sixth of it.
-const STANDING_GAP: Duration = Duration::from_millis(30);
-/// The same as a multiple of what a call to the store takes now: to join, and to be seen by the next one. Right after
-/// an outage a call takes many times as long as usual, and those who stood at once took the place from each other for
-/// a second.
-const STANDING_CALLS: u32 = 3;
-/// Processes that ask the store again and again who leads: as many as may be lost at once with a leader, before the
-/// others have to notice by themselves, and a call a third of a second of each.
+/// Age of the last news of a leader from which a process polls the store itself: the time that the
+/// leader pollers need to stand (1.4 s) plus the time that news takes over three hops (1.3 s).
+const MAX_NEWS_AGE: Duration = Duration::from_millis(2700);
+/// Shortest time between two candidates; a call to the store takes a sixth of it.
+const CANDIDACY_GAP: Duration = Duration::from_millis(30);
+/// Shortest time between two candidates as a multiple of the current duration of a call to the
+/// store, so that one can join and be seen by the next. Right after an outage a call takes many
+/// times as long as usual, and candidates that stood at once took leadership from each other for a
+/// second.
+const CANDIDACY_GAP_CALLS: u32 = 3;
+/// Number of processes that poll the store for the leader. It is the number that may be lost at
+/// once together with a leader before the others have to notice by themselves; each costs a call
+/// every third of a second.
 pub const LEADER_POLLER_COUNT: usize = 5;
-/// Places over which processes that aren't among the few spread their standing. Twice as many of them have a place as
-/// have the one before, so that one or two come first whatever their number is, up to some 1,000. Spread evenly, one
-/// in twenty came first, and of 126 that started at one moment six took the lead from each other.
-const OTHER_PLACES: u32 = 10;
+/// Number of ranks over which the other processes spread their candidacies. Each rank holds twice
+/// as many processes as the one before, so that one or two come first among up to some 1,000. With
+/// an even spread one in twenty came first, and of 126 processes that started at the same time six
+/// took leadership from each other.
+const OTHER_RANKS: u32 = 10;
 
-/// Who asks the store again and again who leads.
+/// The few processes that poll the store for the leader.
 pub trait LeaderPollers {
-    /// Returns this process's place among the few who ask, by which they stand one after the other; `None` if it
-    /// isn't one of them.
+    /// Returns this process's rank among the leader pollers, by which they stand one after another;
+    /// `None` if it isn't one of them.
     fn rank(&self) -> Option<usize>;
 }
 
-/// Processes that have more room to lead than this one.
+/// Well-provisioned processes, which a small process prefers as leaders.
 #[async_trait(?Send)]
 pub trait PreferredLeaders {
-    /// Returns whether one of them answers.
+    /// Returns whether one of them answers a call.
     async fn any_reachable(&self) -> bool;
 }
 
-/// A process that stands for leadership.
+/// A process that stands for election.
 pub struct Candidate {
-    /// Its name.
+    /// Name of the process.
     pub node: NodeName,
-    /// The store.
+    /// The store that holds the election.
     pub store: Rc<dyn Store>,
-    /// Time between two calls: of a leader to stay, of others to learn whether anybody leads.
+    /// Time between two calls: of the leader to renew its membership, of others to check whether
+    /// anybody leads.
     pub interval: Duration,
-    /// Processes with more room, where this one has little.
+    /// Well-provisioned processes, if this one is small.
     pub preferred_leaders: Option<Rc<dyn PreferredLeaders>>,
-    /// Who asks the store again and again who leads.
+    /// The processes that poll the store for the leader.
     pub leader_pollers: Rc<dyn LeaderPollers>,
-    /// What this process hears of who leads with what it reads.
+    /// News of the leader that this process gets with its reads.
     pub freshness: Rc<Freshness>,
     /// A random number, which differs between processes and starts.
     pub salt: u64,
@@ -91,29 +98,31 @@
         self.freshness.note_led(Moment::now());
     }
 
-    /// Returns whether this process has to ask the store who leads.
-    fn has_to_ask(&self) -> bool {
+    /// Returns whether this process has to poll the store for the leader.
+    fn must_poll(&self) -> bool {
         self.leader_pollers.rank().is_some()
-            || self.freshness.led_age().is_none_or(|age| age > NEWS_AGE)
+            || self.freshness.led_age().is_none_or(|age| age > MAX_NEWS_AGE)
     }
 
-    /// Returns how long after the others this process stands, where a call to the store takes so long.
-    fn standing_delay(&self, call: Duration) -> Duration {
-        let place =
-            self.leader_pollers.rank().map_or_else(|| self.other_place(), |place| place as u32);
-        STANDING_GAP.max(call * STANDING_CALLS) * place
+    /// Returns how long this process waits for earlier candidates, given the current duration of a
+    /// call to the store.
+    fn candidacy_delay(&self, call: Duration) -> Duration {
+        let rank = self.leader_pollers.rank().map_or_else(|| self.other_rank(), |rank| rank as u32);
+        CANDIDACY_GAP.max(call * CANDIDACY_GAP_CALLS) * rank
     }
 
-    /// Returns the place of a process that isn't among the few. Those had their time to stand before news of the last
-    /// leader grew old; a process that has just started leaves it to them.
-    fn other_place(&self) -> u32 {
+    /// Returns the rank of a process that isn't a leader poller. The pollers had time to stand
+    /// before news of the last leader grew old; a process that has just started, and has no news,
+    /// gives them that time now.
+    fn other_rank(&self) -> u32 {
         let has_news = self.freshness.led_age().is_some();
         let first = if has_news { 0 } else { LEADER_POLLER_COUNT as u32 };
-        first + OTHER_PLACES.saturating_sub(self.salt.trailing_zeros())
+        first + OTHER_RANKS.saturating_sub(self.salt.trailing_zeros())
     }
 }
 
-/// The term of a process that leads: the generation under which it began.
+/// The term of a leader: the generation under which it began; `None` while the process doesn't
+/// lead.
 pub type Term = watch::Sender<Option<u64>>;
 
 /// Ends a process's term, if it has one.
@@ -121,30 +130,30 @@
     term.send_if_modified(|current| current.take().is_some());
 }
 
-/// Stands for leadership for ever, each time that nobody leads. A process with little room hands over once
-/// one with more room answers.
-pub async fn stand_for_ever(candidate: &Candidate, term: &Term) {
+/// Stands for election each time that nobody leads; never returns. A small process hands leadership
+/// over once a well-provisioned one answers.
+pub async fn stand_for_election_forever(candidate: &Candidate, term: &Term) {
     let mut generation = 0;
     loop {
-        wait_for_vacancy(candidate).await;
+        wait_until_leaderless(candidate).await;
         if let Some(preferred_leaders) = &candidate.preferred_leaders {
-            log::info!("event=J123 nobody leads, a process with little room stands");
+            log::info!("event=J123 no leader, a small process stands for election");
             tokio::select! {
-                () = stand(candidate, term, &mut generation) => {}
-                () = successor_answers(preferred_leaders.as_ref(), term) => {
-                    log::info!("event=J124 leadership handed over to a process with more room");
+                () = stand_for_election(candidate, term, &mut generation) => {}
+                () = preferred_leader_answers(preferred_leaders.as_ref(), term) => {
+                    log::info!("event=J124 leadership handed over to a well-provisioned process");
                 }
             }
         } else {
-            stand(candidate, term, &mut generation).await;
+            stand_for_election(candidate, term, &mut generation).await;
         }
         end_term(term);
         candidate.store.resign(&candidate.node).await;
     }
 }
 
-/// Stands until somebody else leads.
-async fn stand(candidate: &Candidate, term: &Term, generation: &mut u64) {
+/// Stands for election until another process leads.
+async fn stand_for_election(candidate: &Candidate, term: &Term, generation: &mut u64) {
     loop {
         let joined = join(candidate, *generation).await;
         if let Some(answer) = joined {
@@ -163,11 +172,12 @@
     }
 }
 
-/// Joins, once more each interval while no answer comes: the place lasts from when a join arrives, and answers may get
-/// lost. Waited for until its time was over, a lost answer cost the place.
+/// Joins the group, and sends another join each interval until one is answered. Membership counts
+/// from the arrival of a join, and answers may be lost: waiting for one answer until its timeout
+/// would let the membership expire.
 async fn join(candidate: &Candidate, generation: u64) -> Option<Candidacy> {
     let mut joins = FuturesUnordered::new();
-    for _ in 0..JOIN_INTERVALS {
+    for _ in 0..MAX_UNANSWERED_JOINS {
         joins.push(candidate.store.stand(&candidate.node, generation));
         let answer = async {
             loop {
@@ -190,38 +200,38 @@
     holder.is_ok_and(|holder| holder.is_some_and(|holder| holder != candidate.node))
 }
 
-/// Waits until the store says that nobody leads, to a process with little room several times in a row, and until
-/// the processes before this one have had time to stand.
-async fn wait_for_vacancy(candidate: &Candidate) {
+/// Waits until the store answers that nobody leads (several times in a row for a small process),
+/// and until earlier candidates have had time to stand.
+async fn wait_until_leaderless(candidate: &Candidate) {
     let (interval, answers) = if candidate.preferred_leaders.is_some() {
-        tokio::time::sleep(SMALL_VACANCY_INTERVAL).await;
-        (SMALL_VACANCY_INTERVAL, SMALL_VACANT_ANSWERS)
+        tokio::time::sleep(SMALL_POLL_INTERVAL).await;
+        (SMALL_POLL_INTERVAL, SMALL_LEADERLESS_ANSWERS)
     } else {
         (candidate.interval, 1)
     };
-    let mut vacant = 0;
+    let mut leaderless_answers = 0;
     loop {
         let asked = Instant::now();
-        if vacant > 0 || candidate.has_to_ask() {
+        if leaderless_answers > 0 || candidate.must_poll() {
             match nobody_leads(candidate).await {
-                Some(true) => vacant += 1,
-                Some(false) => vacant = 0,
+                Some(true) => leaderless_answers += 1,
+                Some(false) => leaderless_answers = 0,
                 None => {}
             }
         }
-        if vacant >= answers {
-            if nobody_stands_first(candidate, asked.elapsed()).await {
+        if leaderless_answers >= answers {
+            if no_earlier_candidate(candidate, asked.elapsed()).await {
                 return;
             }
-            vacant = 0;
+            leaderless_answers = 0;
         }
         tokio::time::sleep(interval).await;
     }
 }
 
-/// Leaves the processes before this one the time to stand, and returns whether none of them has.
-async fn nobody_stands_first(candidate: &Candidate, call: Duration) -> bool {
-    let delay = candidate.standing_delay(call);
+/// Gives earlier candidates time to stand, and returns whether none of them leads now.
+async fn no_earlier_candidate(candidate: &Candidate, call: Duration) -> bool {
+    let delay = candidate.candidacy_delay(call);
     if delay.is_zero() {
         return true;
     }
@@ -229,8 +239,8 @@
     nobody_leads(candidate).await == Some(true)
 }
 
-/// Returns whether nobody leads, or this process by its name from before a restart; `None` where the store
-/// is away, which says nothing about who leads.
+/// Returns whether nobody leads, or only this process by its name from before a restart; `None` if
+/// the store is unavailable, which says nothing about the leader.
 async fn nobody_leads(candidate: &Candidate) -> Option<bool> {
     let holder = candidate.store.holder().await.ok()?;
     let is_led = holder.is_some_and(|holder| holder != candidate.node);
@@ -240,8 +250,8 @@
     Some(!is_led)
 }
 
-/// Waits until a process with more room answers while this one leads.
-async fn successor_answers(preferred_leaders: &dyn PreferredLeaders, term: &Term) {
+/// Waits until a well-provisioned process answers while this one leads.
+async fn preferred_leader_answers(preferred_leaders: &dyn PreferredLeaders, term: &Term) {
     loop {
         tokio::time::sleep(HANDOVER_INTERVAL).await;
         let leads = term.borrow().is_some();
--- a/crates/rampbay-jobs/src/leader.rs
+++ b/crates/rampbay-jobs/src/leader.rs
@@ -1,4 +1,5 @@
-//! The leader: elected through the store, it plans round after round and keeps each decision.
+//! The leader: a process elected through the store that plans in rounds and writes each decision to
+//! the store.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -6,7 +7,7 @@
 
 use tokio::time::Instant;
 
-use crate::candidacy::{Candidate, Term, stand_for_ever};
+use crate::candidacy::{Candidate, Term, stand_for_election_forever};
 use crate::follower::Pace;
 use crate::intake::CurrentRouting;
 use crate::metrics::metrics;
@@ -16,45 +17,45 @@
 use crate::store::{AppendError, Fence, Offset, Store, appends};
 use crate::table::JobTable;
 
-/// Writer name that all leaders share, so that a newer one fences the older ones.
+/// Writer name shared by all leaders, so that a newer leader fences older ones.
 const WRITER: &str = "planner";
-/// Bits of an epoch that tell apart processes which saw the same term. Under one epoch the store would
-/// take the decisions of one for repeats of the other's. Of 60 processes some two share 12 bits in a third
-/// of all deployments, and 20 bits in one of 600; more would leave less for the term, since fencing tokens
-/// may be read as floating-point numbers (53 bits).
+/// Bits of an epoch that distinguish processes which saw the same term. Under equal epochs the
+/// store would take the decisions of one process for retries of the other's. Among 60 processes,
+/// two share 12 bits in a third of all deployments, and 20 bits in one of 600. More bits would
+/// leave fewer for the term, since fencing tokens may be read as floating-point numbers (53 bits).
 const EPOCH_SALT_BITS: u32 = 20;
-/// Longest time between two rounds, for what is due by time alone.
+/// Longest time between two rounds, for work that becomes due by time alone.
 const IDLE_ROUND: Duration = Duration::from_millis(200);
-/// Least time between two rounds, so that records come in groups.
+/// Shortest time between two rounds, so that records are appended in groups.
 const ROUND_GAP: Duration = Duration::from_millis(10);
-/// Rounds take at most one part in so many of the leader's time, as the clock shows it: renewals of
-/// leadership, reads and callers share its thread.
+/// A round may take at most one part in this many of the leader's wall time: leadership renewals,
+/// reads and callers share its thread.
 const ROUND_SHARE: u32 = 4;
-/// Pause before an append without answer is repeated.
-const REPEAT_PAUSE: Duration = Duration::from_millis(100);
+/// Pause before an unanswered append is retried.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// What a leader works with.
+/// Dependencies of a leader.
 pub struct LeaderParts {
-    /// What stands for leadership: this process, over its store.
+    /// The candidate through which this process stands for election.
     pub candidate: Candidate,
-    /// The table, which a follower keeps current.
+    /// The job table, kept up to date by a follower.
     pub table: Rc<RefCell<JobTable>>,
-    /// What operators want.
+    /// The operators' routing settings.
     pub routing: Rc<CurrentRouting>,
-    /// How the runs' progress is followed. Only whoever leads needs it.
+    /// How often progress reports are read. Only the leader reads them.
     pub progress_pace: Pace,
-    /// Reads the clock for due times.
+    /// Returns the time of day, for due times.
     pub wall_clock: fn() -> u64,
 }
 
-/// A leader that has lost its place.
+/// A leader that has lost leadership.
 #[derive(Debug)]
 struct Deposed;
 
-/// Stands for leadership for ever, and plans while it has it.
+/// Stands for election and plans while this process leads; never returns.
 pub async fn run(parts: LeaderParts, planner: impl Fn() -> Planner) {
     let term: Term = tokio::sync::watch::channel(None).0;
-    let stand = stand_for_ever(&parts.candidate, &term);
+    let candidacy = stand_for_election_forever(&parts.candidate, &term);
     let lead = async {
         let mut terms = term.subscribe();
         loop {
@@ -81,7 +82,7 @@
             }
         }
     };
-    tokio::join!(stand, lead);
+    tokio::join!(candidacy, lead);
 }
 
 struct Writer<'a> {
@@ -90,7 +91,7 @@
 }
 
 impl Writer<'_> {
-    /// Appends until the store has answered.
+    /// Appends the records, and retries until the store has answered.
     async fn append(&mut self, records: &[KeyedRecord]) -> Result<Offset, Deposed> {
         loop {
             match self.store.append(STATE_TOPIC, records, Some(&self.fence)).await {
@@ -100,7 +101,7 @@
                 }
                 Err(AppendError::Fenced) => return Err(Deposed),
                 Err(AppendError::Refused | AppendError::Unknown) => {
-                    tokio::time::sleep(REPEAT_PAUSE).await;
+                    tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
         }
@@ -129,7 +130,8 @@
     mut planner: Planner,
     progress: &RefCell<ProgressTable>,
 ) -> Result<std::convert::Infallible, Deposed> {
-    // Taken before the state is read, the epoch may lie below the last leader's.
+    // The epoch is derived from the state: taken before the state is read, it might be lower than
+    // the last leader's.
     parts.candidate.freshness.first_read().await;
     let epoch = next_epoch(generation, parts.table.borrow().leader.epoch, parts.candidate.salt);
     let fence = Fence { writer: WRITER.to_owned(), epoch, sequence: 0 };
@@ -181,13 +183,14 @@
     })
 }
 
-/// Returns an epoch above all that were seen, which no other process takes.
+/// Returns an epoch that is higher than all that were seen and that no other process uses.
 fn next_epoch(generation: u64, seen: u64, salt: u64) -> u64 {
     let term = generation.max(term_of(seen) + 1);
     (term << EPOCH_SALT_BITS) | (salt & ((1 << EPOCH_SALT_BITS) - 1))
 }
 
-/// Returns the term of an epoch, without what tells apart processes that saw the same one.
+/// Returns the term of an epoch, without the bits that distinguish processes which saw the same
+/// term.
 pub(crate) const fn term_of(epoch: u64) -> u64 {
     epoch >> EPOCH_SALT_BITS
 }
