--- a/crates/rampbay-jobs/src/clock.rs
+++ b/crates/rampbay-jobs/src/clock.rs
@@ -1,30 +1,31 @@
-//! A steady clock that also counts the time for which the machine was suspended.
+//! A monotonic clock that also counts the time for which the machine was suspended.
 //!
-//! The runtime's clock stands still while a machine is suspended. A process that wakes would take what it knows for
-//! younger than it is, just where an age is the proof that nothing has changed since: it would renew leases of runs
-//! that were started elsewhere meanwhile, or let in callers whose keys were taken away. So every age that proves
-//! something is measured by this clock.
+//! The runtime's clock stops while a machine is suspended. A process that resumes would take its
+//! knowledge for younger than it is, where the age is what proves that nothing has changed: it
+//! would renew leases of runs that were started elsewhere in the meantime, or accept callers whose
+//! API keys were removed. So every age that serves as a proof is measured by this clock.
 //!
-//! Timers stay with the runtime's clock: one that fires late proves nothing. So do the leases of a worker, which it
-//! measures by a clock that stands still as well: they are over no sooner than that clock says.
+//! Timers use the runtime's clock, since a timer that fires late proves nothing. So do the leases
+//! of a worker, which the worker also measures by a clock that stops during a suspension: the
+//! leases end no earlier than that clock says.
 
 use std::cell::Cell;
 use std::ops::Add;
 use std::time::Duration;
 
-/// Reads a clock: time since a moment that stays the same.
+/// Reads a clock: the time since a fixed moment.
 pub type ClockSource = fn() -> Duration;
 
 thread_local! {
     static SOURCE: Cell<ClockSource> = const { Cell::new(since_boot) };
 }
 
-/// Reads moments on this thread from another source, such as virtual time.
+/// Sets the clock from which this thread reads moments, such as virtual time.
 pub fn set_clock_source(source: ClockSource) {
     SOURCE.set(source);
 }
 
-/// A moment by the clock.
+/// A moment by this module's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment(Duration);
 
@@ -35,13 +36,13 @@
         Self((SOURCE.get())())
     }
 
-    /// Returns the time since this moment; zero if it is to come.
+    /// Returns the time since this moment; zero if it lies in the future.
     #[must_use]
     pub fn elapsed(&self) -> Duration {
         Self::now().0.saturating_sub(self.0)
     }
 
-    /// Returns the moment so long before this one, if the clock goes back that far.
+    /// Returns the moment that lies `time` before this one, if the clock goes back that far.
     #[must_use]
     pub fn checked_sub(self, time: Duration) -> Option<Self> {
         self.0.checked_sub(time).map(Self)
@@ -58,15 +59,15 @@
 
 #[cfg(any(target_os = "linux", target_os = "android"))]
 const CLOCK: nix::time::ClockId = nix::time::ClockId::CLOCK_BOOTTIME;
-// Elsewhere the monotonic clock is the nearest there is; some of them count suspension.
+// Elsewhere the monotonic clock is the closest equivalent; some of them count suspension.
 #[cfg(not(any(target_os = "linux", target_os = "android")))]
 const CLOCK: nix::time::ClockId = nix::time::ClockId::CLOCK_MONOTONIC;
 
-/// Reads the time since the machine was started.
+/// Returns the time since the machine was booted.
 ///
 /// # Panics
 ///
-/// Panics if the machine has no such clock: without it no age can be told.
+/// Panics if the machine has no such clock: without it no age can be measured.
 fn since_boot() -> Duration {
-    nix::time::clock_gettime(CLOCK).map(Duration::from).expect("the machine has a steady clock")
+    nix::time::clock_gettime(CLOCK).map(Duration::from).expect("the clock can be read")
 }
--- a/crates/rampbay-jobs/src/process.rs
+++ b/crates/rampbay-jobs/src/process.rs
@@ -1,4 +1,4 @@
-//! What every process keeps current: the table, and its own address for peers.
+//! State that every process maintains: the job table, and its own address for peers.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,17 +14,18 @@
 use crate::store::{Offset, ReadError, Snapshot, Store};
 use crate::table::JobTable;
 
-/// Pause before the store is asked again to keep a process's address.
-const REGISTER_RETRY: Duration = Duration::from_millis(500);
+/// Pause before a failed append of the process's address is retried.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// A table that a follower keeps current.
+/// A job table that a follower keeps up to date.
 #[derive(Clone, Default)]
 pub struct LiveTable {
     /// The table.
     pub table: Rc<RefCell<JobTable>>,
-    /// How current it is.
+    /// How up to date the table is.
     pub freshness: Rc<Freshness>,
-    /// The agent whose view it is, which is sent only what concerns its worker; none where the view is whole.
+    /// The agent that this table belongs to, which receives only records that concern its worker;
+    /// `None` if the table is complete.
     pub agent: Option<NodeName>,
 }
 
@@ -56,7 +57,7 @@
 }
 
 impl LiveTable {
-    /// Makes the table of an agent.
+    /// Creates the table of an agent.
     #[must_use]
     pub fn of_agent(agent: NodeName) -> Self {
         Self { agent: Some(agent), ..Self::default() }
@@ -66,11 +67,8 @@
         TableSink { table: Rc::clone(&self.table), agent: self.agent.clone() }
     }
 
-    /// Passes on the newest record of each key: all, or those that an agent needs which begins to follow.
-    ///
-    /// # Errors
-    ///
-    /// Returns an error if nothing is known yet, or not all records were kept.
+    /// Returns the newest record of each key to pass on: all of them, or those that an agent needs
+    /// when it starts to follow.
     pub fn pass_on_newest(&self, agent: Option<&str>) -> Result<Snapshot, ReadError> {
         let table = self.table.borrow();
         let is_wanted =
@@ -78,14 +76,15 @@
         self.freshness.pass_on_newest(is_wanted)
     }
 
-    /// Keeps the table current for ever.
+    /// Keeps the table up to date; never returns.
     pub async fn follow(self, store: Rc<dyn Store>, pace: Pace) {
         let sink = self.sink();
         follow(store, STATE_TOPIC, pace, self.freshness, sink).await;
     }
 
-    /// Takes in records that this process has appended itself, if they follow on what it holds.
-    /// `end` is the offset after them; `sent` is when they were sent, if they surely weren't appended before.
+    /// Applies records that this process has appended itself, if nothing lies between them and the
+    /// table's position. `end` is the offset after them. `sent` is when they were sent; `None` if
+    /// they may have been appended by an earlier call.
     pub(crate) fn apply_own(&self, end: Offset, records: &[KeyedRecord], sent: Option<Moment>) {
         let known = self.freshness.position();
         if self.freshness.age().is_none() || known + records.len() as u64 != end {
@@ -95,14 +94,15 @@
         for record in records {
             take_in(&mut sink, &self.freshness, record);
         }
-        // Nothing lies between the table and the append, so the table was current when it was sent.
+        // No other record lies between the table's position and the append, so the table was up to
+        // date when the call was sent.
         if let Some(sent) = sent {
             self.freshness.prove(sent);
         }
         self.freshness.move_to(end);
     }
 
-    /// Keeps the store's record of this process's address.
+    /// Keeps the store's record of this process's address up to date.
     pub async fn announce(self, store: Rc<dyn Store>, member: Member) {
         let mut changes = self.freshness.subscribe();
         loop {
@@ -117,7 +117,7 @@
             let record = Record::Member(member.clone()).encode();
             match store.append(STATE_TOPIC, &[record], None).await {
                 Ok(end) => self.freshness.reach(end).await,
-                Err(_) => tokio::time::sleep(REGISTER_RETRY).await,
+                Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
             }
         }
     }
@@ -139,7 +139,7 @@
     }
 }
 
-/// Keeps the progress of all runs current for ever.
+/// Keeps the progress of all runs up to date; never returns.
 pub async fn follow_progress(
     store: Rc<dyn Store>,
     progress: Rc<RefCell<ProgressTable>>,
--- a/crates/rampbay-jobs/src/read_your_writes.rs
+++ b/crates/rampbay-jobs/src/read_your_writes.rs
@@ -1,8 +1,9 @@
-//! Takes this process's own appends into its table as soon as the store has them.
+//! Applies this process's own appends to its table as soon as the store has accepted them.
 //!
-//! Without it, a process that has just appended records waits until it has read them back. The
-//! table stays a function of the records in their order: an append is taken in only where nothing
-//! lies between the table's position and it, otherwise the follower reads it like any other.
+//! Without this layer, a process that has appended records waits until it has read them back. The
+//! table remains a function of the records in their order: an append is applied only if no other
+//! record lies between the table's position and the append. Otherwise the follower reads it like
+//! any other record.
 
 use std::rc::Rc;
 
@@ -13,14 +14,14 @@
 use crate::store::{AppendError, Fence, Offset, Store};
 use async_trait::async_trait;
 
-/// A store whose appends go into a table at once.
+/// A store layer that applies appends to a table at once.
 pub struct ReadYourWritesStore {
     store: Rc<dyn Store>,
     live: LiveTable,
 }
 
 impl ReadYourWritesStore {
-    /// Makes a store over another, with the table that this process keeps.
+    /// Creates a layer over a store, with the table that this process maintains.
     #[must_use]
     pub fn new(store: Rc<dyn Store>, live: LiveTable) -> Self {
         Self { store, live }
@@ -39,8 +40,9 @@
         records: &[KeyedRecord],
         fence: Option<&Fence>,
     ) -> Result<Offset, AppendError> {
-        // A repeat of a fenced append gets its first answer again, also one that came another way: it says
-        // nothing about what came after the first.
+        // A retry of a fenced append gets the first answer again, even if the first append arrived
+        // by another route. So that answer doesn't prove that the table was up to date when the
+        // retry was sent.
         let sent = fence.is_none().then(Moment::now);
         let end = self.store.append(topic, records, fence).await?;
         if topic == STATE_TOPIC {
--- a/crates/rampbay-jobs/src/registrations.rs
+++ b/crates/rampbay-jobs/src/registrations.rs
@@ -1,9 +1,10 @@
-//! The registrations of workers, each under a number and a key of its own.
+//! The registrations of workers, each under its own number and key.
 //!
-//! A call without answer may be carried out seconds later, after newer ones. Were all registrations of a worker
-//! kept under one key, a late copy of a removal would undo the registration that came after it, and the planner
-//! would start elsewhere what still runs there: in the case that was played, all runs of a worker twice within 20 ms
-//! of the late copy. Under keys of their own a removal ends only the registration that it was sent for.
+//! An unanswered call may be carried out seconds later, after newer ones. If all registrations of a
+//! worker shared one key, a late copy of a removal would undo the registration that followed, and
+//! the planner would start elsewhere what still runs at that worker: in a reproduced case, all runs
+//! of a worker ran twice within 20 ms of the late copy. With a key per registration, a removal ends
+//! only the registration that it was sent for.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -13,49 +14,52 @@
 use crate::record::WorkerRecord;
 use crate::store::Offset;
 
-/// Names a registration of one worker; the highest counts. An agent's process takes one for each life that it serves,
-/// and the one that follows each time that the worker comes back. 0 is that of a release that knew none.
+/// Number of a registration of one worker; the highest one is in force. An agent's process takes a
+/// number for each incarnation that it serves, and the next number each time that the worker is
+/// registered again. Registrations by releases without numbers count as 0.
 pub type RegistrationNumber = u64;
 
-/// Bits of a number that count the returns of a worker to the same process; it makes a handful.
-const RETURN_BITS: u32 = 8;
+/// Bits of a number that count how often one process registers the worker again: a handful of
+/// times.
+const REREGISTRATION_BITS: u32 = 8;
 
-/// Bits of a number that hold the time of day, in milliseconds: a quarter of an hour, and longer than a call may be
-/// under way.
+/// Bits of a number that hold the time of day, in milliseconds: a quarter of an hour, which is
+/// longer than a call may be in flight.
 const TIME_BITS: u32 = 20;
 
-/// Returns a number that no other process takes for the worker: `position` is how far its view of the state has
-/// come, and of two processes at the same position the later one has the later time.
+/// Returns a number that no other process takes for the worker. `position` is how far the process
+/// has read the state; of two processes at the same position, the later one has the later time.
 #[must_use]
 pub const fn number_at(position: Offset, wall: EpochMillis) -> RegistrationNumber {
-    (((position << TIME_BITS) | (wall & ((1 << TIME_BITS) - 1))) + 1) << RETURN_BITS
+    (((position << TIME_BITS) | (wall & ((1 << TIME_BITS) - 1))) + 1) << REREGISTRATION_BITS
 }
 
-/// Returns the number of the same process that follows. A decision to give the worker up that was made before it
-/// came back, and lands after, ends the number before only.
+/// Returns the number that follows, for the same process. A decision to give up the worker that was
+/// made before it was registered again, and lands afterwards, then ends only the earlier
+/// registration.
 #[must_use]
 pub const fn next_number(number: RegistrationNumber) -> RegistrationNumber {
     number + 1
 }
 
 const fn process_of(number: RegistrationNumber) -> u64 {
-    number >> RETURN_BITS
+    number >> REREGISTRATION_BITS
 }
 
-/// The registrations that the state holds, and their ends.
+/// The registrations that the state holds, and records of ended ones.
 #[derive(Clone, Debug, Default)]
 pub struct Registrations {
     numbered: BTreeMap<InstanceId, BTreeMap<RegistrationNumber, Rc<WorkerRecord>>>,
-    over: BTreeMap<InstanceId, RegistrationNumber>,
-    /// Registrations that landed after their end: their keys are to be removed.
+    ended_up_to: BTreeMap<InstanceId, RegistrationNumber>,
+    /// Registrations that landed after the record of their end; their keys are to be removed.
     late: BTreeSet<(InstanceId, RegistrationNumber)>,
 }
 
 impl Registrations {
-    /// Takes in a registration. A departure is final: an account of the worker from before it, which lands late,
-    /// doesn't take it back.
+    /// Inserts a registration. A departure is final: an earlier record of the worker that lands
+    /// later doesn't undo it.
     pub fn insert(&mut self, instance: &str, number: RegistrationNumber, mut record: WorkerRecord) {
-        if self.over.get(instance).is_some_and(|over| number <= *over) {
+        if self.ended_up_to.get(instance).is_some_and(|ended_up_to| number <= *ended_up_to) {
             self.late.insert((instance.to_owned(), number));
             return;
         }
@@ -67,7 +71,7 @@
         numbered.insert(number, Rc::new(record));
     }
 
-    /// Takes in that a registration is over.
+    /// Removes a registration.
     pub fn remove(&mut self, instance: &str, number: RegistrationNumber) {
         self.late.remove(&(instance.to_owned(), number));
         let Some(numbered) = self.numbered.get_mut(instance) else { return };
@@ -77,45 +81,47 @@
         }
     }
 
-    /// Takes in that all registrations up to a number are over, also those that land later.
+    /// Ends all registrations up to a number, including those that land later.
     pub fn end(&mut self, instance: &str, number: RegistrationNumber) {
-        let known = self.over.entry(instance.to_owned()).or_default();
+        let known = self.ended_up_to.entry(instance.to_owned()).or_default();
         *known = number.max(*known);
         let ended: Vec<RegistrationNumber> =
             self.numbers(instance).filter(|other| *other <= number).collect();
         ended.into_iter().for_each(|other| self.remove(instance, other));
     }
 
-    /// Forgets that registrations are over: none of them lands any more.
+    /// Forgets that registrations of a worker have ended, once none of them can land any more.
     pub fn forget_end(&mut self, instance: &str) {
-        self.over.remove(instance);
+        self.ended_up_to.remove(instance);
     }
 
-    /// Iterates over the registrations that landed after their end.
+    /// Iterates over the registrations that landed after the record of their end.
     pub fn late(&self) -> impl Iterator<Item = &(InstanceId, RegistrationNumber)> {
         self.late.iter()
     }
 
-    /// Iterates over the workers some of whose registrations are over.
+    /// Iterates over the workers that have ended registrations.
     pub fn workers_with_ended(&self) -> impl Iterator<Item = &InstanceId> {
-        self.over.keys()
+        self.ended_up_to.keys()
     }
 
-    /// Returns a number that counts, no lower than one that was taken.
+    /// Returns `taken`, or a higher number if registrations up to `taken` have ended.
     #[must_use]
     pub fn above_ended(&self, instance: &str, taken: RegistrationNumber) -> RegistrationNumber {
-        let over = self.over.get(instance).copied().filter(|over| *over >= taken);
-        over.map_or(taken, |over| (process_of(over) + 1) << RETURN_BITS)
+        let ended_up_to =
+            self.ended_up_to.get(instance).copied().filter(|ended_up_to| *ended_up_to >= taken);
+        ended_up_to
+            .map_or(taken, |ended_up_to| (process_of(ended_up_to) + 1) << REREGISTRATION_BITS)
     }
 
-    /// Returns the registration of a worker that counts.
+    /// Returns the registration of a worker that is in force.
     #[must_use]
     pub fn newest(&self, instance: &str) -> Option<(RegistrationNumber, &Rc<WorkerRecord>)> {
         let (number, record) = self.numbered.get(instance)?.last_key_value()?;
         Some((*number, record))
     }
 
-    /// Returns whether a worker is registered by the process that took a number.
+    /// Returns whether the process that took a number has registered the worker.
     #[must_use]
     pub fn is_by_process_of(&self, instance: &str, number: RegistrationNumber) -> bool {
         self.numbers(instance).any(|known| process_of(known) == process_of(number))
--- a/crates/rampbay-jobs/src/worker.rs
+++ b/crates/rampbay-jobs/src/worker.rs
@@ -1,4 +1,4 @@
-//! Border to the worker beside an agent.
+//! Interface between an agent and its worker.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::job::{Checkpoint, InstanceId, TaskId};
 use crate::record::{EndReason, RunProgress};
 
-/// Milliseconds of a worker's own steady clock.
+/// Milliseconds of a worker's own monotonic clock.
 pub type WorkerMillis = u64;
 
 /// An order to start a run.
@@ -16,15 +16,15 @@
 pub struct StartOrder {
     /// The task.
     pub task: TaskId,
-    /// The run.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// Text for the task.
+    /// Payload that is passed to the task.
     pub payload: String,
-    /// Until when everything at the worker is leased.
+    /// Until when all runs at the worker are leased, by its clock.
     pub lease_until: WorkerMillis,
-    /// Fencing token.
+    /// Fencing token of the order.
     pub fencing_token: FencingToken,
-    /// What to continue from.
+    /// Checkpoint to continue from.
     pub checkpoint: Checkpoint,
 }
 
@@ -33,121 +33,112 @@
 pub struct StopOrder {
     /// The task.
     pub task: TaskId,
-    /// The run.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// Fencing token.
+    /// Fencing token of the order.
     pub fencing_token: FencingToken,
 }
 
-/// A call that renews leases and lists runs and ends.
+/// A call that renews leases, acknowledges ends, and lists runs and ends.
 #[derive(Clone, Copy, Debug)]
 pub struct RenewOrder {
-    /// Until when everything at the worker is leased; `None` only looks.
+    /// Until when all runs at the worker are leased, by its clock; `None` renews no lease.
     pub lease_until: Option<WorkerMillis>,
-    /// Fencing token.
+    /// Fencing token of the order.
     pub fencing_token: FencingToken,
-    /// Number of the last end that is kept in the store.
+    /// Number of the last listed end that the store holds; the worker may forget ends up to it.
     pub last_seen: u64,
-    /// How long the worker waits for a new end.
+    /// How long the worker may wait for a new end before it answers.
     pub wait: Duration,
 }
 
-/// Why a worker did not start a run, with certainty.
+/// Why a worker certainly did not start a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// A higher fencing token was there.
+    /// The worker has seen a higher fencing token.
     Fenced,
-    /// The run, or a later one, has ended there.
+    /// This attempt, or a later one, has ended at the worker.
     Superseded,
-    /// The lease had already ended.
+    /// The lease had already ended when the order arrived.
     Late,
-    /// It doesn't fit.
+    /// The worker has too little free capacity.
     NoRoom,
-    /// The worker isn't well, or doesn't know the order.
+    /// The worker is unhealthy, or doesn't know the order.
     Unhealthy,
 }
 
-/// Why a call to a worker has no answer of use.
+/// Why a call to a worker got no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WorkerError {
-    /// Another life of the worker answered, with its name if it told that: the intended one is over.
-    #[error("another life of the worker answered")]
+    /// Another incarnation of the worker answered, with its id if it told that: the intended one
+    /// has ended.
+    #[error("another incarnation of the worker answered")]
     OtherLife(Option<InstanceId>),
-    /// No answer; the order may still be carried out.
+    /// No answer arrived; the order may still be carried out.
     #[error("no answer from the worker")]
     NoAnswer,
-    /// Nobody listens at the worker's address.
-    #[error("nobody listens at the worker's address")]
+    /// The worker's address refuses connections.
+    #[error("connection refused at the worker's address")]
     Refused,
 }
 
 /// Outcome of a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Started {
-    /// The run is there.
+    /// The worker has the run.
     Yes,
-    /// It never starts by this order.
+    /// The order never starts the run.
     No(Refusal),
 }
 
 /// An end that a worker lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedEnd {
-    /// Its number at this life of the worker, from 1.
+    /// Number of the end at this incarnation of the worker, from 1.
     pub number: u64,
     /// The task.
     pub task: TaskId,
-    /// The run.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// Why it ended.
+    /// Why the run ended.
     pub reason: EndReason,
-    /// What it saved.
+    /// The checkpoint that the run saved last.
     pub checkpoint: Checkpoint,
 }
 
-/// What a worker lists.
+/// A worker's list of running and ended runs.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    /// Its clock.
+    /// The worker's clock when it answered.
     pub clock: WorkerMillis,
-    /// What runs.
+    /// The running tasks.
     pub running: Vec<RunProgress>,
-    /// Ends above the number last seen.
+    /// Ends with numbers above the one last seen.
     pub ended: Vec<ListedEnd>,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[async_trait(?Send)]
 pub trait Worker {
     /// Orders a start.
     ///
     /// # Errors
     ///
-    /// Returns an error if no answer came or another life answered.
+    /// Returns an error if no answer came or another incarnation answered.
     async fn start(&self, order: &StartOrder) -> Result<Started, WorkerError>;
 
-    /// Ends a run at whichever life answers at the worker's address: an order that was meant for the life before may
-    /// have been carried out by the next one, where that goes by the same name. Returns whether it is surely over, or never
-    /// starts. Lives that no order can mix up have nothing to end.
-    ///
-    /// # Errors
-    ///
-    /// Returns an error if no answer came.
+    /// Stops a run at whichever incarnation answers at the worker's address: an order meant for the
+    /// previous incarnation may have been carried out by the next one, if both share an id. Returns
+    /// whether the run is certainly over, or will never start. The default is for workers whose
+    /// incarnations can't be confused by an order: there is nothing to stop.
     async fn stop_in_any_incarnation(&self, _order: &StopOrder) -> Result<bool, WorkerError> {
         Ok(true)
     }
 
-    /// Orders a stop. Once it is answered, the run ends, and never starts if it hasn't.
-    ///
-    /// # Errors
-    ///
-    /// Returns an error if no answer came or another life answered.
+    /// Orders a stop. Once the stop is answered, the run ends, or never starts if it hasn't
+    /// started.
     async fn stop(&self, order: &StopOrder) -> Result<(), WorkerError>;
 
-    /// Renews leases and looks.
-    ///
-    /// # Errors
-    ///
-    /// Returns an error if no answer came or another life answered.
+    /// Renews leases, acknowledges ends, and returns the worker's list of runs.
     async fn renew(&self, order: &RenewOrder) -> Result<Listing, WorkerError>;
 }
