--- a/crates/rampbay-jobs/src/agent/registering.rs
+++ b/crates/rampbay-jobs/src/agent/registering.rs
@@ -147,7 +147,7 @@
             // The registration is gone, so the leader is reassigning the worker's runs. The worker
             // is registered again only once it has no runs and no job's plan names it: otherwise
             // the runs that are still to be reassigned would be started here too.
-            None => is_empty && !table.names_worker(&self.instance),
+            None => is_empty && !table.has_runs_assigned_to(&self.instance),
         }
     }
 
--- a/crates/rampbay-jobs/src/agent/runs.rs
+++ b/crates/rampbay-jobs/src/agent/runs.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use crate::job::{Checkpoint, TaskId};
-use crate::losses::LastRun;
+use crate::losses::InFlightRun;
 
 /// Identifies a run: its task and the number of the attempt.
 pub type RunKey = (TaskId, u32);
@@ -83,10 +83,10 @@
 
 impl Runs {
     /// Lists the runs that may have begun and whose end isn't known.
-    pub fn unfinished(&self) -> Vec<LastRun> {
+    pub fn unfinished(&self) -> Vec<InFlightRun> {
         let unfinished =
             self.open.iter().filter(|(key, run)| run.may_have_begun && !self.ended.contains(*key));
-        let unfinished = unfinished.map(|((task, attempt), run)| LastRun {
+        let unfinished = unfinished.map(|((task, attempt), run)| InFlightRun {
             task: task.clone(),
             attempt: *attempt,
             age_ms: run.known_since.elapsed().as_millis() as u64,
--- a/crates/rampbay-jobs/src/agent/stops.rs
+++ b/crates/rampbay-jobs/src/agent/stops.rs
@@ -6,8 +6,8 @@
 
 use tokio::time::Instant;
 
-use crate::account::TaskStatus;
 use crate::metrics::metrics;
+use crate::plan::TaskStatus;
 use crate::worker::{StopOrder, WorkerError};
 
 use super::incarnation::Incarnation;
@@ -96,7 +96,7 @@
             has_reappeared
                 || unanswered
                 || evicted
-                || !table.wants_run(&self.instance, task, *attempt)
+                || !table.should_run(&self.instance, task, *attempt)
         });
         unwanted.map(|(key, _)| key.clone()).collect()
     }
@@ -107,7 +107,7 @@
         while !self.has_ended() {
             let order = StopOrder { fencing_token: self.fencing_token(), ..order.clone() };
             let outcome = self.worker.stop(&order).await;
-            metrics().ordered("stop");
+            metrics().count_order("stop");
             log::info!(
                 "event=J167 stop ordered task={} attempt={} worker={} outcome={outcome:?}",
                 key.0,
--- a/crates/rampbay-jobs/src/candidacy.rs
+++ b/crates/rampbay-jobs/src/candidacy.rs
@@ -178,7 +178,7 @@
 async fn join(candidate: &Candidate, generation: u64) -> Option<Candidacy> {
     let mut joins = FuturesUnordered::new();
     for _ in 0..MAX_UNANSWERED_JOINS {
-        joins.push(candidate.store.stand(&candidate.node, generation));
+        joins.push(candidate.store.stand_for_election(&candidate.node, generation));
         let answer = async {
             loop {
                 match joins.next().await {
--- a/crates/rampbay-jobs/tests/reborn.rs
+++ b/crates/rampbay-jobs/tests/reborn.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::{EndReason, Record};
 use rstest::rstest;
 use support::store::MemoryStore;
@@ -80,7 +80,7 @@
 fn previous_incarnation_ended_by_listing() {
     on_virtual_time(async {
         let rig = after_first_run().await;
-        rig.hush();
+        rig.stop_heartbeats();
         rig.worker.replace(NEW);
         sleep(SETTLES).await;
         assert!(!is_registered(&rig.store, OLD));
@@ -107,7 +107,7 @@
 fn previous_incarnation_acknowledges_nothing_at_next_one() {
     on_virtual_time(async {
         let rig = after_first_run().await;
-        rig.hush();
+        rig.stop_heartbeats();
         rig.worker.replace(NEW);
         sleep(SETTLES).await;
         assert_eq!(rig.worker.last_acknowledged(), 0);
@@ -136,7 +136,7 @@
     on_virtual_time(async {
         let rig = after_first_run().await;
         assign(&rig.store, SECOND_JOB, OLD);
-        rig.hush();
+        rig.stop_heartbeats();
         rig.worker.replace(NEW);
         // The order reaches the new incarnation before the agent has got a listing from it.
         rig.worker.start_without_agent(&task(SECOND_JOB, 0), 1);
--- a/crates/rampbay-jobs/tests/shrinking.rs
+++ b/crates/rampbay-jobs/tests/shrinking.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::{JobStatus, TaskStatus};
 use rampbay_jobs::job::Resources;
+use rampbay_jobs::plan::{JobStatus, TaskStatus};
 use rampbay_jobs::record::{EndReason, Leader, Record, WorkerRecord};
 use rampbay_jobs::settings::Settings;
 use rstest::rstest;
@@ -167,7 +167,7 @@
 fn start_without_recent_heartbeat_refused() {
     on_virtual_time(async {
         let rig = running_rig().await;
-        rig.hush();
+        rig.stop_heartbeats();
         sleep(Duration::from_secs(4)).await;
         assign_more(&rig);
         sleep(SETTLES_WITHIN).await;
@@ -281,7 +281,8 @@
         shrunk.iter().for_each(|machine| machine.devices.set(DEVICES));
         sleep(LONG).await;
         let starts = site.starts.borrow();
-        let beyond: Vec<&Start> = starts.iter().filter(|s| s.beside as u64 >= s.room).collect();
+        let beyond: Vec<&Start> =
+            starts.iter().filter(|s| s.runs_beside as u64 >= s.known_devices).collect();
         assert!(beyond.is_empty(), "{beyond:?}");
         for id in &ids {
             assert_eq!(site.status(id), JobStatus::Succeeded, "{:?}", site.starts_of(id));
