--- a/crates/rampbay-jobs/src/planner/expire.rs
+++ b/crates/rampbay-jobs/src/planner/expire.rs
@@ -55,9 +55,11 @@
         draft.remove(worker_key(instance, *number));
     }
     let known = &mut planner.over_since;
-    if known.len() != registrations.ended().count() {
-        known.retain(|instance, _| registrations.ended().any(|ended| ended == instance));
-        for instance in registrations.ended() {
+    if known.len() != registrations.workers_with_ended().count() {
+        known.retain(|instance, _| {
+            registrations.workers_with_ended().any(|ended| ended == instance)
+        });
+        for instance in registrations.workers_with_ended() {
             known.entry(instance.clone()).or_insert(inputs.now);
         }
     }
--- a/crates/rampbay-jobs/src/settings.rs
+++ b/crates/rampbay-jobs/src/settings.rs
@@ -190,15 +190,15 @@
     pub fn agent(&self) -> AgentSettings {
         AgentSettings {
             lease: Duration::from_millis(self.lease_ms),
-            lapse: self.lapse(),
-            guard: GUARD,
-            start_age: Duration::from_millis(2000),
-            room_age: self.room_age(),
-            silence: Duration::from_millis(2500),
+            lease_expiry: self.lapse(),
+            max_renewal_table_age: GUARD,
+            max_start_table_age: Duration::from_millis(2000),
+            max_heartbeat_age: self.room_age(),
+            silence_timeout: Duration::from_millis(2500),
             renewal_wait: Duration::from_millis(1000),
             report_interval: Duration::from_millis(1000),
             idle_report_interval: Duration::from_millis(2000),
-            unanswered_start: Duration::from_millis(100),
+            unanswered_start_timeout: Duration::from_millis(100),
         }
     }
 
--- a/crates/rampbay-jobs/tests/drains.rs
+++ b/crates/rampbay-jobs/tests/drains.rs
@@ -12,7 +12,7 @@
 use support::leader::{OPERATOR_TOPIC, start_leader};
 use support::planner::{PlannerRig, gang};
 use support::store::{MemoryStore, Trouble};
-use support::worker::{FakeWorker, StartTrouble};
+use support::worker::{FakeWorker, StartFault};
 use support::{
     AgentRig, job, on_virtual_time, running_plan, seed_running_job, step, table_of, worker_record,
 };
@@ -211,7 +211,7 @@
     on_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
-        worker.start_trouble.set(StartTrouble::FirstOrderLost);
+        worker.start_fault.set(StartFault::FirstOrderLost);
         seed_running_job(&store, JOB, 1, "i-1");
         let rig = AgentRig::start(store, worker);
         rig.heartbeat("i-1", 1);
--- a/crates/rampbay-jobs/tests/suspended.rs
+++ b/crates/rampbay-jobs/tests/suspended.rs
@@ -74,14 +74,14 @@
 fn nothing_started_by_a_view_from_before() {
     on_virtual_time(async {
         let (rig, way) = running_rig().await;
-        rig.worker.see_fence(9);
+        rig.worker.observe_fencing_token(9);
         rig.store.put(&Record::Submitted(Box::new(job(OTHER, 1, step(1, 1)))));
         rig.store.put(&Record::Plan(OTHER.to_owned(), Box::new(running_plan(1, WORKER, 1))));
         sleep(SETTLES).await;
         way.cut.set(true);
         sleep(SETTLES).await;
         suspend(SUSPENDED);
-        rig.worker.see_fence(1);
+        rig.worker.observe_fencing_token(1);
         sleep(SETTLES).await;
         let starts = rig.worker.starts();
         assert!(starts.iter().all(|(started, _)| started.job != OTHER), "{starts:?}");
--- a/crates/rampbay-peer/src/tree.rs
+++ b/crates/rampbay-peer/src/tree.rs
@@ -11,7 +11,7 @@
 
 use std::collections::BTreeMap;
 
-use rampbay_jobs::candidacy::VIGIL_SIZE;
+use rampbay_jobs::candidacy::LEADER_POLLER_COUNT;
 use rampbay_jobs::record::Member;
 use rampbay_jobs::table::JobTable;
 
@@ -73,7 +73,7 @@
     if watch.is_empty() {
         watch = entries(table).filter(is_other).collect();
     }
-    by_domain_in_turn(watch).into_iter().take(VIGIL_SIZE)
+    by_domain_in_turn(watch).into_iter().take(LEADER_POLLER_COUNT)
 }
 
 /// Iterates over the entries. Only their views are whole, and only they stand for leadership: an agent
--- a/crates/rampbay-peer/src/ways.rs
+++ b/crates/rampbay-peer/src/ways.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::echo::EchoStore;
 use rampbay_jobs::freshness::Freshness;
 use rampbay_jobs::metrics::metrics;
 use rampbay_jobs::process::LiveTable;
+use rampbay_jobs::read_your_writes::ReadYourWritesStore;
 use rampbay_jobs::record::{Member, STATE_TOPIC};
 use rampbay_jobs::settings::Settings;
 use rampbay_jobs::store::Store;
@@ -85,7 +85,7 @@
         let direct = DirectStore::new(Rc::new(counted), follows.probe_interval());
         let routes = Routes { settings: Rc::clone(&settings), transport, live: live.clone() };
         let grouped = |store: Rc<dyn Store>| -> Rc<dyn Store> {
-            Rc::new(GroupStore::new(Rc::new(EchoStore::new(store, live.clone()))))
+            Rc::new(GroupStore::new(Rc::new(ReadYourWritesStore::new(store, live.clone()))))
         };
         // An agent takes in only its own appends. What it passes on for a peer may hold accounts of jobs that it doesn't
         // know, which come to it together with their jobs.
