--- a/crates/rampbay-jobs/src/read_your_writes.rs
+++ b/crates/rampbay-jobs/src/read_your_writes.rs
@@ -29,7 +29,7 @@
 
 #[async_trait(?Send)]
 impl Layer for ReadYourWritesStore {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         self.store.as_ref()
     }
 
