--- a/crates/rampbay-peer/src/routes.rs
+++ b/crates/rampbay-peer/src/routes.rs
@@ -20,7 +20,7 @@
 use crate::relay::{PeerList, Writers};
 use crate::tail::{Sources, TailSources};
 use crate::transport::Transport;
-use crate::tree::{Tree, ample, entries, rank, watch};
+use crate::tree::{Tree, ample, entries, leader_pollers, rank};
 
 /// Peers that a process knows to go through while the store turns it away. Some calls go wrong until one of them is
 /// found that the store serves; where a third of the fleet is turned away, all of these are once in 40 million.
@@ -224,7 +224,7 @@
                 // Before it knows the others: those that the settings of all name stand first.
                 return settings.seeds.iter().position(|seed| seed.ip() == settings.ip);
             }
-            watch(table).position(|member| member.node == settings.node)
+            leader_pollers(table).position(|member| member.node == settings.node)
         });
         Rc::new(Watch(Box::new(place)))
     }
--- a/crates/rampbay-peer/tests/routes.rs
+++ b/crates/rampbay-peer/tests/routes.rs
@@ -12,8 +12,8 @@
 use rampbay_peer::gateway::GatewayPeer;
 use rampbay_peer::peer::PeerStore;
 use rampbay_peer::routes::Routes;
-use rampbay_peer::served::{Followed, Served, handler};
-use rampbay_peer::server::{Closing, serve};
+use rampbay_peer::server::{ServerState, serve};
+use rampbay_peer::service::{Followed, PeerService, handler};
 use rampbay_peer::tail::TailSources;
 use rampbay_peer::transport::Transport;
 use rstest::rstest;
@@ -155,7 +155,7 @@
         }
         preferred_leaders.any_reachable().await
     };
-    let never = watch::channel(Closing::Open);
+    let never = watch::channel(ServerState::Open);
     let local = tokio::task::LocalSet::new();
     let answered = local.run_until(async {
         tokio::select! {
@@ -174,10 +174,10 @@
 }
 
 /// What a peer without a store serves: it answers pings.
-fn served(transport: &Rc<dyn Transport>) -> Served {
+fn served(transport: &Rc<dyn Transport>) -> PeerService {
     let nowhere = PeerStore::new(Rc::clone(transport), "127.0.0.1:1".to_owned());
     let direct = DirectStore::new(Rc::new(nowhere), Duration::from_secs(1));
-    Served {
+    PeerService {
         direct: direct.clone(),
         gathers: direct,
         followed: Followed::new(),
