--- a/crates/rampbay-jobs/src/agent.rs
+++ b/crates/rampbay-jobs/src/agent.rs
@@ -175,7 +175,7 @@
     }
 
     /// Handles a deregistration: marks the most recently discovered incarnation that satisfies
-    /// `is_meant` as leaving.
+    /// `is_meant` and hasn't ended as leaving.
     pub fn deregister(&self, is_meant: impl Fn(&str) -> bool) {
         let incarnations = self.incarnations.borrow();
         let meant = incarnations
--- a/crates/rampbay-jobs/src/agent/incarnation.rs
+++ b/crates/rampbay-jobs/src/agent/incarnation.rs
@@ -24,7 +24,7 @@
 /// Why an incarnation has certainly ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndCause {
-    /// A later incarnation of the worker is known.
+    /// Another incarnation answers at the worker's address, or a later one is known.
     Replaced,
     /// The worker departed: its leases have expired, or its address refuses connections after a
     /// deregistration.
@@ -183,11 +183,11 @@
     /// records the departure: if this machine is lost too, the leader reassigns the runs when the
     /// last lease ends (6.7 s) instead of after the agent's silence (22.7 s).
     pub(super) fn handle_refused(&self) {
-        let has_ended = {
+        let notice_has_ended = {
             let record = self.record.borrow();
             record.draining && record.leaves_at <= (self.parts.wall_clock)()
         };
-        if has_ended && self.leaving_since.get().is_none() {
+        if notice_has_ended && self.leaving_since.get().is_none() {
             log::warn!(
                 "event=J178 worker refuses connections after its notice period worker={} runs={}",
                 self.instance,
--- a/crates/rampbay-jobs/src/agent/orders.rs
+++ b/crates/rampbay-jobs/src/agent/orders.rs
@@ -209,8 +209,8 @@
     }
 
     /// Polls the worker for a run whose start got no answer, before that run is stopped: the
-    /// renewal that waits for an end wouldn't show the run for a second. A run that is there would
-    /// be stopped, and its whole gang with it.
+    /// renewal that waits for an end wouldn't show the run for a second. Without the poll, a run
+    /// that did start would be stopped, and its whole gang with it.
     async fn poll_for(self: &Rc<Self>, key: &RunKey) {
         self.set_poll_in_flight(key, true);
         self.poll().await;
--- a/crates/rampbay-jobs/src/agent/registering.rs
+++ b/crates/rampbay-jobs/src/agent/registering.rs
@@ -179,7 +179,7 @@
             .collect()
     }
 
-    /// Tells the leader how the incarnation ended and which runs may have crashed it.
+    /// Returns how the incarnation ended and which runs may have crashed it, for the leader.
     fn describe_end(&self) -> LifeOver {
         let runs = self.listed.get().then(|| self.runs.borrow().unfinished());
         LifeOver { gave_notice: self.is_draining(), runs }
--- a/crates/rampbay-jobs/tests/late_across_lives.rs
+++ b/crates/rampbay-jobs/tests/late_across_lives.rs
@@ -20,7 +20,7 @@
 /// How long jobs are submitted and workers restart.
 const FAULTS_FOR: Duration = Duration::from_secs(60);
 /// Time in which all jobs end.
-const SETTLES: Duration = Duration::from_secs(40);
+const SETTLES_WITHIN: Duration = Duration::from_secs(40);
 
 /// The guarded failures are a task that runs again after an acknowledged end, that runs twice, or
 /// that never ends, because calls for one incarnation are carried out by the next.
@@ -63,7 +63,7 @@
             machine.worker.late_calls.set(None);
             machine.worker.silent.set(false);
         }
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         let table = table_of(&site.store);
         let is_over = |id: &&String| table.status(id).is_some_and(JobStatus::is_final);
         let open: Vec<&String> = table.jobs.keys().filter(|id| !is_over(id)).collect();
--- a/crates/rampbay-jobs/tests/late_heartbeats.rs
+++ b/crates/rampbay-jobs/tests/late_heartbeats.rs
@@ -18,7 +18,7 @@
 const OLD: &str = "i-1";
 const NEW: &str = "i-2";
 /// Longer than an agent takes to find that another incarnation answers.
-const SETTLES: Duration = Duration::from_millis(2500);
+const SETTLES_WITHIN: Duration = Duration::from_millis(2500);
 
 /// Starts an agent whose worker has crashed and started a second incarnation, in which it runs a
 /// task.
@@ -27,10 +27,10 @@
     let worker = FakeWorker::new(OLD);
     let rig = AgentRig::start(Rc::clone(&store), Rc::clone(&worker));
     rig.heartbeat(OLD, 1);
-    sleep(SETTLES).await;
+    sleep(SETTLES_WITHIN).await;
     worker.replace(NEW);
     rig.heartbeat(NEW, 1);
-    sleep(SETTLES).await;
+    sleep(SETTLES_WITHIN).await;
     seed_running_job(&store, JOB, 1, NEW);
     sleep(Duration::from_millis(300)).await;
     assert_eq!(worker.running(), vec![(task(JOB, 0), 1)]);
@@ -57,7 +57,7 @@
         let rig = second_incarnation().await;
         let records = rig.store.all(STATE_TOPIC).len();
         rig.heartbeat(OLD, 2);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         assert_only_new_incarnation(&rig);
         assert_eq!(rig.store.all(STATE_TOPIC).len(), records, "nothing is written for it");
     });
@@ -74,7 +74,7 @@
         let rig = AgentRig::start(store, worker);
         rig.heartbeat(OLD, 2);
         rig.heartbeat(NEW, 2);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         assert_only_new_incarnation(&rig);
         assert_eq!(registrations(&rig.store, OLD), before);
     });
@@ -89,13 +89,13 @@
         let worker = FakeWorker::new(OLD);
         let rig = AgentRig::start(store, Rc::clone(&worker));
         rig.heartbeat(OLD, 1);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         worker.silent.set(true);
         sleep(Duration::from_secs(12)).await;
         assert!(table_of(&rig.store).workers.is_empty());
         worker.silent.set(false);
         rig.heartbeat(OLD, 9);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         assert!(table_of(&rig.store).workers.contains_key(OLD));
     });
 }
@@ -119,7 +119,7 @@
             }
             rig.heartbeat(&name(incarnation), 10);
         }
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         let table = table_of(&rig.store);
         assert_eq!(table.workers.keys().collect::<Vec<_>>(), [&name(INCARNATIONS - 1)]);
     });
--- a/crates/rampbay-jobs/tests/leader.rs
+++ b/crates/rampbay-jobs/tests/leader.rs
@@ -112,7 +112,7 @@
 
 /// Expired leadership is taken over within one polling interval and a call.
 #[test]
-fn lapsed_leadership_taken_up_soon() {
+fn expired_leadership_taken_over_soon() {
     on_virtual_time(async {
         let store = MemoryStore::new();
         let first = start(&store, WELL_PROVISIONED, None);
@@ -168,7 +168,7 @@
 
 /// An unavailable store doesn't mean that nobody leads.
 #[test]
-fn small_process_doesnt_stand_while_store_is_unavailable() {
+fn small_process_doesnt_stand_for_election_while_store_is_unavailable() {
     on_virtual_time(async {
         let store = MemoryStore::new();
         let peer = Rc::new(WellProvisionedPeers { answers: Cell::new(false) });
--- a/crates/rampbay-jobs/tests/power_losses.rs
+++ b/crates/rampbay-jobs/tests/power_losses.rs
@@ -1,8 +1,8 @@
 //! All machines lose power at once, some of them repeatedly.
 //!
-//! After a power loss of all machines, accepted jobs made no progress for seconds although workers
-//! were idle, and tasks were started again after their end as done had been acknowledged to their
-//! worker.
+//! Regression: after a power loss of all machines, accepted jobs made no progress for seconds
+//! although workers were idle, and tasks were started again after their end as done had been
+//! acknowledged to their worker.
 //!
 //! The stalls came from counting each power loss against every running task. From the third loss
 //! on, each task got a worker of its own, on which nothing else was started for five seconds; the
--- a/crates/rampbay-jobs/tests/reborn.rs
+++ b/crates/rampbay-jobs/tests/reborn.rs
@@ -24,18 +24,18 @@
 const NEW: &str = "i-1~2000";
 /// Longer than an agent takes to start a run, to store its end, or to find that another incarnation
 /// answers.
-const SETTLES: Duration = Duration::from_millis(2500);
+const SETTLES_WITHIN: Duration = Duration::from_millis(2500);
 
 /// Starts an agent whose worker has finished one run, whose end has number 1.
 async fn after_first_run() -> AgentRig {
     let store = MemoryStore::new();
     let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(OLD));
     rig.heartbeat(OLD, 41);
-    sleep(SETTLES).await;
+    sleep(SETTLES_WITHIN).await;
     seed_running_job(&store, FIRST_JOB, 1, OLD);
-    sleep(SETTLES).await;
+    sleep(SETTLES_WITHIN).await;
     rig.worker.end(&task(FIRST_JOB, 0), 1, EndReason::Done);
-    sleep(SETTLES).await;
+    sleep(SETTLES_WITHIN).await;
     assert_eq!(rig.worker.last_acknowledged(), 1);
     rig
 }
@@ -44,7 +44,7 @@
 async fn start_next_incarnation(rig: &AgentRig) {
     rig.worker.replace(NEW);
     rig.heartbeat(NEW, 1);
-    sleep(SETTLES).await;
+    sleep(SETTLES_WITHIN).await;
 }
 
 fn is_registered(store: &MemoryStore, instance: &str) -> bool {
@@ -64,12 +64,12 @@
         let rig = after_first_run().await;
         rig.worker.replace(NEW);
         rig.heartbeat(NEW, 1);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         assert!(is_registered(&rig.store, NEW), "its heartbeats count from one again");
         assign(&rig.store, SECOND_JOB, NEW);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         rig.worker.end(&task(SECOND_JOB, 0), 1, EndReason::Done);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         assert!(table_of(&rig.store).has_end(&task(SECOND_JOB, 0), 1));
         assert_eq!(rig.worker.last_acknowledged(), 1);
     });
@@ -82,7 +82,7 @@
         let rig = after_first_run().await;
         rig.stop_heartbeats();
         rig.worker.replace(NEW);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         assert!(!is_registered(&rig.store, OLD));
     });
 }
@@ -109,7 +109,7 @@
         let rig = after_first_run().await;
         rig.stop_heartbeats();
         rig.worker.replace(NEW);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         assert_eq!(rig.worker.last_acknowledged(), 0);
     });
 }
@@ -120,9 +120,9 @@
         let rig = after_first_run().await;
         rig.worker.replace(NEW);
         rig.heartbeat(NEW, 1);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         rig.heartbeat(OLD, 42);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         assert!(is_registered(&rig.store, NEW));
         assert!(!is_registered(&rig.store, OLD));
     });
@@ -172,17 +172,18 @@
 /// then.
 const LATE: Duration = Duration::from_secs(8);
 
-/// Regression: a call that acknowledges ends of the previous incarnation was carried out late. The
-/// next incarnation forgot one of its own ends before the store held it, and the job never ended.
+/// Guards against this failure: a call that acknowledges ends of the previous incarnation is
+/// carried out late. The next incarnation forgets one of its own ends before the store holds it,
+/// and the job never ends.
 #[test]
 fn end_stored_despite_late_acknowledgement_of_previous_incarnation() {
     on_virtual_time(async {
         let store = MemoryStore::new();
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(OLD));
         rig.heartbeat(OLD, 41);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         seed_running_job(&store, FIRST_JOB, 1, OLD);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         rig.worker.late_calls.set(Some(LateCalls::Acknowledgements(LATE)));
         rig.worker.end(&task(FIRST_JOB, 0), 1, EndReason::Done);
         sleep(Duration::from_millis(500)).await;
@@ -190,28 +191,28 @@
         start_next_incarnation(&rig).await;
         rig.worker.late_calls.set(None);
         assign(&store, SECOND_JOB, NEW);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         assert_eq!(rig.worker.running(), [(task(SECOND_JOB, 0), 1)]);
         // The run ends while its agent gets no answers.
         rig.worker.silent.set(true);
         sleep(Duration::from_millis(1500)).await;
         rig.worker.end(&task(SECOND_JOB, 0), 1, EndReason::Done);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         rig.worker.silent.set(false);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         assert!(table_of(&store).has_end(&task(SECOND_JOB, 0), 1));
     });
 }
 
-/// Regression: a task ran twice. A start for the previous incarnation, given up and reassigned in
-/// the meantime, was carried out late by the next incarnation.
+/// Guards against a task that runs twice: a start for the previous incarnation, given up and
+/// reassigned in the meantime, is carried out late by the next incarnation.
 #[test]
 fn late_start_for_previous_incarnation_not_carried_out() {
     on_virtual_time(async {
         let rig = after_first_run().await;
         rig.worker.late_calls.set(Some(LateCalls::Starts(LATE)));
         assign(&rig.store, SECOND_JOB, OLD);
-        sleep(SETTLES * 2).await;
+        sleep(SETTLES_WITHIN * 2).await;
         assert!(table_of(&rig.store).has_refusal(&task(SECOND_JOB, 0), 1));
         let elsewhere = support::running_plan(1, "i-2~1000", 2);
         rig.store.put(&Record::Plan(SECOND_JOB.to_owned(), Box::new(elsewhere)));
@@ -238,15 +239,15 @@
     });
 }
 
-/// Regression: a task ran twice. A start for the previous incarnation, given up and reassigned in
-/// the meantime, was carried out by an incarnation that its agent hadn't reached yet.
+/// Guards against a task that runs twice: a start for the previous incarnation, given up and
+/// reassigned in the meantime, is carried out by an incarnation that its agent hasn't reached yet.
 #[test]
 fn unreached_life_starts_nothing() {
     on_virtual_time(async {
         let rig = after_first_run().await;
         rig.worker.late_calls.set(Some(LateCalls::Starts(LATE)));
         assign(&rig.store, SECOND_JOB, OLD);
-        sleep(SETTLES * 2).await;
+        sleep(SETTLES_WITHIN * 2).await;
         let elsewhere = support::running_plan(1, "i-2~1000", 2);
         rig.store.put(&Record::Plan(SECOND_JOB.to_owned(), Box::new(elsewhere)));
         sleep(Duration::from_millis(500)).await;
--- a/crates/rampbay-jobs/tests/returns.rs
+++ b/crates/rampbay-jobs/tests/returns.rs
@@ -36,9 +36,9 @@
 /// Number of the registration by an earlier agent process.
 const PREDECESSOR: u64 = 77;
 /// Longer than an agent and a leader take to start a job.
-const STARTS: Duration = Duration::from_millis(1500);
+const JOB_STARTS_WITHIN: Duration = Duration::from_millis(1500);
 /// Longer than any operation in flight takes to finish.
-const SETTLES: Duration = Duration::from_secs(60);
+const SETTLES_WITHIN: Duration = Duration::from_secs(60);
 
 /// Writes the records of [`seed_running_job`], with a numbered registration by a predecessor.
 fn seed_with_predecessor(store: &MemoryStore) {
@@ -73,11 +73,12 @@
         plan.open[0].steps[0][0].status = TaskStatus::Stopping;
         store.put(&Record::Plan(JOB.to_owned(), Box::new(plan)));
         start_leader(&store, "entry-1", 1, None);
-        sleep(STARTS).await;
-        let way = FaultyStore::new(&store, 1);
-        let rig = AgentRig::start_with_store(Rc::clone(&store), way, FakeWorker::new(WORKER));
+        sleep(JOB_STARTS_WITHIN).await;
+        let faulty_store = FaultyStore::new(&store, 1);
+        let rig =
+            AgentRig::start_with_store(Rc::clone(&store), faulty_store, FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         let plan = plan_of(&store, JOB);
         assert_ne!((plan.status, plan.attempt), (TaskStatus::Stopping, 1), "{plan:?}");
     });
@@ -90,12 +91,13 @@
         let store = MemoryStore::new();
         seed_with_predecessor(&store);
         refuse_by_predecessor(&store);
-        let way = FaultyStore::new(&store, 1);
-        let rig = AgentRig::start_with_store(Rc::clone(&store), way, FakeWorker::new(WORKER));
+        let faulty_store = FaultyStore::new(&store, 1);
+        let rig =
+            AgentRig::start_with_store(Rc::clone(&store), faulty_store, FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
         sleep(Duration::from_millis(40)).await;
         start_leader(&store, "entry-1", 1, None);
-        sleep(SETTLES).await;
+        sleep(SETTLES_WITHIN).await;
         let plan = plan_of(&store, JOB);
         let starts = rig.worker.starts();
         assert!(!starts.is_empty(), "{plan:?} {:?}", table_of(&store).ends);
@@ -110,7 +112,7 @@
         let store = MemoryStore::new();
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(JOB_STARTS_WITHIN).await;
         let registered: Vec<String> = table_of(&store).registrations().keys(WORKER).collect();
         store.put(&Record::Worker(OTHER.to_owned(), Box::new(worker_record("side-9", "r1", 8))));
         store.put(&Record::Submitted(Box::new(job(JOB, 1, step(1, 1)))));
@@ -146,25 +148,28 @@
 /// A worker that was registered again after its eviction isn't evicted once more because of older
 /// reports.
 #[rstest]
-fn return_from_eviction_stands(#[values(0, 50, 200)] append: u64) {
-    let mut again = Vec::new();
+fn returned_worker_not_evicted_again(#[values(0, 50, 200)] append: u64) {
+    let mut repeated = Vec::new();
     for phase in (0..1000).step_by(50) {
         on_virtual_time(async {
             let store = MemoryStore::new();
             store.append_delay.set(Duration::from_millis(append));
-            let way = FaultyStore::new(&store, 0);
-            let rig =
-                AgentRig::start_with_store(Rc::clone(&store), way.clone(), FakeWorker::new(WORKER));
+            let faulty_store = FaultyStore::new(&store, 0);
+            let rig = AgentRig::start_with_store(
+                Rc::clone(&store),
+                faulty_store.clone(),
+                FakeWorker::new(WORKER),
+            );
             rig.heartbeat(WORKER, 1);
             start_leader(&store, "entry-1", 1, None);
-            sleep(STARTS + Duration::from_millis(phase)).await;
-            way.cut.set(true);
+            sleep(JOB_STARTS_WITHIN + Duration::from_millis(phase)).await;
+            faulty_store.cut.set(true);
             for send_heartbeat in 0..12 {
                 sleep(Duration::from_secs(1)).await;
                 rig.heartbeat(WORKER, 2 + send_heartbeat);
             }
             assert!(table_of(&store).evicted.contains(WORKER));
-            way.cut.set(false);
+            faulty_store.cut.set(false);
             for send_heartbeat in 0..10 {
                 sleep(Duration::from_secs(1)).await;
                 rig.heartbeat(WORKER, 30 + send_heartbeat);
@@ -176,11 +181,11 @@
                 .filter(|r| r.key.starts_with(&key) && !r.value.is_empty())
                 .count();
             if evictions > 1 {
-                again.push((phase, evictions));
+                repeated.push((phase, evictions));
             }
         });
     }
-    assert!(again.is_empty(), "phase, evictions: {again:?}");
+    assert!(repeated.is_empty(), "phase, evictions: {repeated:?}");
 }
 
 /// A process whose registration the store hasn't accepted starts nothing, although its
@@ -198,14 +203,17 @@
             store.put_into(STATE_TOPIC, &worker_key(WORKER, number), &known.encode().value);
             store.remove(&worker_key(WORKER, 0));
         }
-        let way = FaultyStore::new(&store, u32::MAX);
-        let rig =
-            AgentRig::start_with_store(Rc::clone(&store), way.clone(), FakeWorker::new(WORKER));
+        let faulty_store = FaultyStore::new(&store, u32::MAX);
+        let rig = AgentRig::start_with_store(
+            Rc::clone(&store),
+            faulty_store.clone(),
+            FakeWorker::new(WORKER),
+        );
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(JOB_STARTS_WITHIN).await;
         assert_eq!(rig.worker.starts(), vec![]);
-        way.refused_registrations.set(0);
-        sleep(STARTS * 5).await;
+        faulty_store.refused_registrations.set(0);
+        sleep(JOB_STARTS_WITHIN * 5).await;
         assert_eq!(rig.worker.starts(), vec![(task(JOB, 0), 1)]);
     });
 }
@@ -219,14 +227,14 @@
         store.put(&Record::Submitted(Box::new(job(JOB, 1, step(1, 1)))));
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(JOB_STARTS_WITHIN).await;
         let keys: Vec<String> = table_of(&store).registrations().keys(WORKER).collect();
         assert!(!keys.is_empty());
         store.append_delay.set(Duration::from_millis(300));
         keys.iter().for_each(|key| store.remove(key));
         sleep(Duration::from_millis(200)).await;
         store.put(&Record::Plan(JOB.to_owned(), Box::new(running_plan(1, WORKER, 1))));
-        sleep(STARTS).await;
+        sleep(JOB_STARTS_WITHIN).await;
         assert!(table_of(&store).workers.contains_key(WORKER), "it is registered again");
         assert_eq!(rig.worker.starts(), vec![]);
         assert!(table_of(&store).has_refusal(&task(JOB, 0), 1), "the planner can read the refusal");
@@ -243,7 +251,7 @@
         refuse_by_predecessor(&store);
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(JOB_STARTS_WITHIN).await;
         assert_eq!(rig.worker.starts(), vec![]);
     });
 }
@@ -257,11 +265,11 @@
         seed_running_job(&store, JOB, 1, WORKER);
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(JOB_STARTS_WITHIN).await;
         assert_eq!(rig.worker.running(), vec![(task(JOB, 0), 1)]);
         let keys: Vec<String> = table_of(&store).registrations().keys(WORKER).collect();
         keys.iter().for_each(|key| store.remove(key));
-        sleep(STARTS).await;
+        sleep(JOB_STARTS_WITHIN).await;
         assert_eq!(rig.worker.running(), vec![]);
         assert!(table_of(&store).workers.is_empty(), "a job's plan still names it");
     });
@@ -312,7 +320,7 @@
 
 /// A renewal on another connection, which lists a run's end, is answered before an earlier poll.
 #[rstest]
-fn overtaken_listing_brings_no_run_back(#[values(1, 20, 120)] delay_ms: u64) {
+fn delayed_listing_doesnt_restore_ended_run(#[values(1, 20, 120)] delay_ms: u64) {
     on_virtual_time(async move {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
--- a/crates/rampbay-jobs/tests/support/worker.rs
+++ b/crates/rampbay-jobs/tests/support/worker.rs
@@ -249,7 +249,7 @@
     }
 }
 
-/// Returns a run's progress: a percent a second.
+/// Returns a run's progress: 10 percent, and another one each second, up to 99.
 fn percent_after(time: Duration) -> u32 {
     u32::try_from(10 + time.as_secs()).map_or(99, |percent| percent.min(99))
 }
@@ -417,10 +417,10 @@
         }
         self.reach_incarnation().await?;
         let state = self.worker.state.borrow();
-        let running = state.running.iter().map(|((task, attempt), began)| RunProgress {
+        let running = state.running.iter().map(|((task, attempt), started_at)| RunProgress {
             task: task.clone(),
             attempt: *attempt,
-            percent: percent_after(began.elapsed()),
+            percent: percent_after(started_at.elapsed()),
             ran_ms: 0,
             checkpoint: String::new(),
         });
