--- a/crates/rampbay-peer/src/tree.rs
+++ b/crates/rampbay-peer/src/tree.rs
@@ -66,7 +66,7 @@
 
 /// Iterates over the entries that watch over who leads, beside the leader and the one before it, in as many failure
 /// domains as there are: ample ones, or all where none is.
-pub fn watch(table: &JobTable) -> impl Iterator<Item = &Member> {
+pub fn leader_pollers(table: &JobTable) -> impl Iterator<Item = &Member> {
     let is_other =
         |member: &&Member| member.node != table.leader.node && member.node != table.former_leader;
     let mut watch: Vec<&Member> = ample(table).filter(is_other).collect();
