--- a/crates/rampbay-peer/src/client.rs
+++ b/crates/rampbay-peer/src/client.rs
@@ -1,8 +1,9 @@
-//! A client for short calls to known addresses.
+//! An HTTP client for short calls to known addresses.
 //!
-//! An open connection may go silent for good while new ones work. Nothing tells so but time: the kernel's
-//! probes end a connection whose peer acknowledges nothing, and a call that got no answer in its time
-//! closes all idle connections to that address, so that the next call doesn't meet another silent one.
+//! An open connection may stop carrying data for good while new connections work, and only a
+//! timeout reveals that. TCP keepalive ends a connection whose peer acknowledges nothing. In
+//! addition, a call that isn't answered before its timeout closes all idle connections to that
+//! address, so that the next call doesn't use another dead one.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,18 +21,18 @@
 /// Idle time after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time without traffic after which the kernel probes a connection, and time between two probes.
+/// Time without traffic before the first keepalive probe, and time between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without answer after which a connection is broken.
+/// Unanswered keepalive probes after which a connection is considered broken.
 const PROBES: u32 = 2;
-/// Longest time that sent bytes may stay unacknowledged: a second more than a stop of 1 s, the shortest that
-/// a peer's machine should outlast, and less than agents' leases (6 s) by far.
+/// Longest time that sent bytes may stay unacknowledged: one second more than a pause of 1 s, the
+/// shortest that a peer's machine has to survive, and much less than an agent's lease (6 s).
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
-/// Addresses whose connections are kept; beyond it all idle ones are closed. More than the entries of one
-/// deployment, which are what a process calls.
-const MOST_ADDRESSES: usize = 512;
+/// Largest number of addresses with pooled connections; beyond it all idle connections are closed.
+/// More than the entries of one deployment, which are what a process calls.
+const MAX_ADDRESSES: usize = 512;
 
-/// A call.
+/// An HTTP request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Method.
@@ -40,53 +41,54 @@
     pub address: String,
     /// Path and query.
     pub path: String,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
     /// Media type of the body, if there is one.
     pub content_type: Option<&'static str>,
     /// Body.
     pub body: Bytes,
-    /// Longest time until the whole answer is there.
+    /// Longest time until the whole response has arrived.
     pub timeout: Duration,
 }
 
-/// An answer.
+/// An HTTP response.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
 }
 
-/// Why a call has no answer.
+/// Why a call got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// Nobody listens at the address: the server has not seen the call.
-    #[error("nobody listens")]
+    /// The connection was refused: the server has not seen the call.
+    #[error("connection refused")]
     Refused,
     /// No connection could be opened: the server has not seen the call.
-    #[error("no connection")]
+    #[error("no connection could be opened")]
     NotSent,
-    /// The connection broke, or no answer came in time: the call may have been done.
-    #[error("no answer")]
+    /// The connection broke, or no response came before the timeout: the server may have carried
+    /// out the call.
+    #[error("no response")]
     NoAnswer,
 }
 
-/// Connections to one address.
+/// The connections to one address.
 type Pool = Client<HttpConnector, Full<Bytes>>;
 
-/// The pool of an address, and which one it is: pools are replaced.
+/// The pool of an address and its generation, which changes whenever the pool is replaced.
 #[derive(Clone, Debug)]
-struct KnownPool {
+struct PoolEntry {
     pool: Pool,
     generation: u64,
 }
 
 #[derive(Debug, Default)]
 struct Pools {
-    by_address: HashMap<String, KnownPool>,
-    made: u64,
+    by_address: HashMap<String, PoolEntry>,
+    created: u64,
 }
 
 /// The client; its clones share connections.
@@ -109,8 +111,8 @@
     }
 }
 
-/// Returns why a request came to nothing.
-fn reason_of(error: &hyper_util::client::legacy::Error) -> CallError {
+/// Converts a client error, distinguishing whether the server may have seen the request.
+fn call_error(error: &hyper_util::client::legacy::Error) -> CallError {
     if !error.is_connect() {
         return CallError::NoAnswer;
     }
@@ -126,38 +128,40 @@
 }
 
 impl HttpClient {
-    fn pool(&self, address: &str) -> KnownPool {
+    fn pool(&self, address: &str) -> PoolEntry {
         let mut pools = self.pools.borrow_mut();
-        if let Some(known) = pools.by_address.get(address) {
-            return known.clone();
+        if let Some(entry) = pools.by_address.get(address) {
+            return entry.clone();
         }
-        if pools.by_address.len() >= MOST_ADDRESSES {
+        if pools.by_address.len() >= MAX_ADDRESSES {
             pools.by_address.clear();
         }
         let pool = Client::builder(TokioExecutor::new())
             .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_timer(TokioTimer::new())
             .build(self.connector.clone());
-        pools.made += 1;
-        let known = KnownPool { pool, generation: pools.made };
-        pools.by_address.insert(address.to_owned(), known.clone());
-        known
+        pools.created += 1;
+        let entry = PoolEntry { pool, generation: pools.created };
+        pools.by_address.insert(address.to_owned(), entry.clone());
+        entry
     }
 
-    /// Closes the idle connections of a pool; calls that are under way on others go on.
+    /// Closes the idle connections of a pool, unless the pool has already been replaced. Calls in
+    /// progress on its other connections continue.
     fn close_idle(&self, address: &str, generation: u64) {
         let mut pools = self.pools.borrow_mut();
-        if pools.by_address.get(address).is_some_and(|known| known.generation == generation) {
+        if pools.by_address.get(address).is_some_and(|entry| entry.generation == generation) {
             pools.by_address.remove(address);
         }
     }
 
-    /// Makes a call. A connection whose answer doesn't come in time is closed, and with it all idle ones to
-    /// the same address.
+    /// Makes a call. If the response doesn't arrive before the timeout, its connection and all idle
+    /// ones to the same address are closed.
     ///
     /// # Errors
     ///
-    /// Says whether the server may have seen the call.
+    /// Returns an error if there is no complete response; the variant says whether the server may
+    /// have seen the call.
     pub async fn call(&self, call: Call) -> Result<Reply, CallError> {
         let mut request = Request::builder()
             .method(call.method)
@@ -169,15 +173,15 @@
             request = request.header(name, value);
         }
         let request = request.body(Full::new(call.body)).map_err(|_| CallError::NotSent)?;
-        let known = self.pool(&call.address);
+        let entry = self.pool(&call.address);
         let exchange = async {
-            let response = known.pool.request(request).await.map_err(|error| reason_of(&error))?;
+            let response = entry.pool.request(request).await.map_err(|error| call_error(&error))?;
             let status = response.status();
             let body = response.into_body().collect().await.map_err(|_| CallError::NoAnswer)?;
             Ok(Reply { status, body: body.to_bytes() })
         };
         let Ok(outcome) = tokio::time::timeout(call.timeout, exchange).await else {
-            self.close_idle(&call.address, known.generation);
+            self.close_idle(&call.address, entry.generation);
             return Err(CallError::NoAnswer);
         };
         outcome
--- a/crates/rampbay-peer/src/direct.rs
+++ b/crates/rampbay-peer/src/direct.rs
@@ -1,4 +1,4 @@
-//! A process's own way to the store, and whether it is open.
+//! A process's direct path to the store, and whether it is usable.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,83 +14,86 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Time without any answer to calls under way after which the way is probed: more than a read waits
-/// for a record.
-const SILENCE: Duration = Duration::from_millis(1300);
-/// Calls that fail in a row before the direct way is taken to be broken.
-const FAILURES_TO_CLOSE: u32 = 2;
-/// How long a probe is waited for before the store is doubted: longer than a read at a store that is a
-/// hundred times slower than usual.
-pub(crate) const PROBE_PATIENCE: Duration = Duration::from_millis(700);
+/// Time without any answer to the calls in progress after which the direct path is probed: more
+/// than a read waits for a record.
+const PROBE_AFTER_SILENCE: Duration = Duration::from_millis(1300);
+/// Failed calls in a row after which the direct path is marked unavailable.
+const MAX_CONSECUTIVE_FAILURES: u32 = 2;
+/// Time without an answer to a probe after which the store is suspected to be down: longer than a
+/// read takes at a store that is a hundred times slower than usual.
+pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// This process's own way to the store, and whether it is open.
+/// This process's direct path to the store, and whether it is usable.
 pub struct DirectStore {
     store: Rc<dyn Store>,
-    open: Cell<bool>,
-    /// Calls that have failed since the last that was served.
+    available: Cell<bool>,
+    /// Failed calls since the last successful one.
     failures: Cell<u32>,
-    /// Calls that are under way.
+    /// Calls in progress.
     in_flight: Cell<usize>,
-    /// When the store was heard last, or the first of the calls under way began.
+    /// When the store last answered, or when the first of the calls in progress began.
     answered_at: Cell<Instant>,
-    /// Whether a call has failed, or a probe has hung, since then.
-    doubted: Cell<bool>,
+    /// Whether a call has failed, or a probe has timed out, since `answered_at`.
+    suspected: Cell<bool>,
     /// Time between two probes.
     probe_interval: Duration,
     regained: Notify,
-    closed: Notify,
+    unavailable: Notify,
 }
 
 impl DirectStore {
-    /// Takes the way to be open until a call fails. While it is broken, it is probed at an interval;
-    /// by so much does an outage seem longer at most.
+    /// Creates a path that counts as available until calls fail. While it is unavailable it is
+    /// probed at `probe_interval`, so an outage appears longer by at most that much.
     #[must_use]
     pub fn new(store: Rc<dyn Store>, probe_interval: Duration) -> Rc<Self> {
         Rc::new(Self {
             store,
-            open: Cell::new(true),
+            available: Cell::new(true),
             failures: Cell::new(0),
             in_flight: Cell::new(0),
             answered_at: Cell::new(Instant::now()),
-            doubted: Cell::new(false),
+            suspected: Cell::new(false),
             probe_interval,
             regained: Notify::new(),
-            closed: Notify::new(),
+            unavailable: Notify::new(),
         })
     }
 
-    /// Probes the way for ever, while it is broken or says nothing. A probe that hangs doesn't
-    /// keep the next one.
-    pub async fn probe_for_ever(self: Rc<Self>) {
+    /// Probes the path forever while it is unavailable or the store doesn't answer. A probe without
+    /// an answer doesn't delay the next one.
+    pub async fn run_probes(self: Rc<Self>) {
         loop {
             tokio::time::sleep(self.probe_interval).await;
-            let waits = self.in_flight.get() > 0;
-            if !self.open.get() || (waits && self.answered_at.get().elapsed() > SILENCE) {
+            let has_calls = self.in_flight.get() > 0;
+            if !self.available.get()
+                || (has_calls && self.answered_at.get().elapsed() > PROBE_AFTER_SILENCE)
+            {
                 let direct = Rc::clone(&self);
                 tokio::task::spawn_local(async move { direct.probe().await });
             }
         }
     }
 
-    /// Asks the store for something small. Returns how long the answer took, if one came.
+    /// Makes a small call to the store. Returns how long the answer took, or `None` if the call
+    /// failed.
     pub(crate) async fn probe(&self) -> Option<Duration> {
         let sent = Instant::now();
         let call = self.store.holder();
         tokio::pin!(call);
-        let answer = match tokio::time::timeout(PROBE_PATIENCE, &mut call).await {
+        let answer = match tokio::time::timeout(PROBE_TIMEOUT, &mut call).await {
             Ok(answer) => answer,
             Err(_) => {
-                self.doubted.set(true);
+                self.suspected.set(true);
                 call.await
             }
         };
-        self.note(answer.is_ok());
+        self.record_outcome(answer.is_ok());
         answer.is_ok().then(|| sent.elapsed())
     }
 
-    /// Probes until an answer comes, and returns how long that one took. A probe that hangs doesn't
-    /// keep the next one.
-    pub(crate) async fn answered(&self) -> Duration {
+    /// Probes until the store answers, and returns how long that answer took. A probe without an
+    /// answer doesn't delay the next one.
+    pub(crate) async fn time_to_answer(&self) -> Duration {
         let mut probes = FuturesUnordered::new();
         loop {
             probes.push(self.probe());
@@ -105,55 +108,58 @@
         }
     }
 
-    /// Takes the way to be broken: peers are served, and this process isn't.
-    pub(crate) fn close(&self) {
-        if self.open.replace(false) {
-            log::info!("event=J106 direct way to the store open=false");
+    /// Marks the path as unavailable: several calls in a row failed, or the store serves peers but
+    /// not this process.
+    pub(crate) fn mark_unavailable(&self) {
+        if self.available.replace(false) {
+            log::info!("event=J106 direct path to the store unavailable open=false");
         }
-        self.doubted.set(true);
-        self.closed.notify_waiters();
+        self.suspected.set(true);
+        self.unavailable.notify_waiters();
     }
 
-    /// Returns whether the way is taken to be open.
-    pub(crate) fn is_open(&self) -> bool {
-        self.open.get()
+    /// Returns whether the path counts as available.
+    pub(crate) fn is_available(&self) -> bool {
+        self.available.get()
     }
 
-    /// Waits until the way is taken to be broken.
-    pub(crate) async fn closed(&self) {
-        let closed = self.closed.notified();
-        if self.open.get() {
-            closed.await;
+    /// Waits until the path is marked unavailable.
+    pub(crate) async fn unavailable(&self) {
+        let unavailable = self.unavailable.notified();
+        if self.available.get() {
+            unavailable.await;
         }
     }
 
-    /// Takes note of a call. One lost answer says little; several in a row close the way.
-    fn note(&self, served: bool) {
-        let failures = if served { 0 } else { self.failures.get() + 1 };
+    /// Records the outcome of a call. A single lost answer is no evidence of an outage; several in
+    /// a row make the path unavailable.
+    fn record_outcome(&self, succeeded: bool) {
+        let failures = if succeeded { 0 } else { self.failures.get() + 1 };
         self.failures.set(failures);
-        let open = failures < FAILURES_TO_CLOSE && (served || self.open.get());
-        if !open {
-            self.close();
-        } else if !self.open.replace(true) {
-            log::info!("event=J105 direct way to the store open=true");
+        let available = failures < MAX_CONSECUTIVE_FAILURES && (succeeded || self.available.get());
+        if !available {
+            self.mark_unavailable();
+        } else if !self.available.replace(true) {
+            log::info!("event=J105 direct path to the store available open=true");
         }
-        if !served {
-            self.doubted.set(true);
+        if !succeeded {
+            self.suspected.set(true);
             return;
         }
         self.answered_at.set(Instant::now());
-        // Calls from before a silence may never be answered.
-        if self.doubted.replace(false) {
+        // Calls that were sent before the store stopped answering may never be answered.
+        if self.suspected.replace(false) {
             self.regained.notify_waiters();
         }
     }
 
-    /// Returns the way itself, to be tried whether it is taken to be open or not.
+    /// Returns the underlying store, for calls that are made even if the path counts as
+    /// unavailable.
     pub(crate) fn unchecked(&self) -> Rc<dyn Store> {
         Rc::clone(&self.store)
     }
 
-    /// Counts a call as under way until the guard is dropped.
+    /// Counts a call as in progress until the returned guard is dropped.
     fn in_flight(&self) -> InFlight<'_> {
         if self.in_flight.get() == 0 {
             self.answered_at.set(Instant::now());
@@ -162,13 +168,13 @@
         InFlight(&self.in_flight)
     }
 
-    fn note_read<T>(&self, outcome: Result<T, ReadError>) -> Result<T, ReadError> {
-        self.note(!matches!(outcome, Err(ReadError::Unavailable)));
+    fn record_read<T>(&self, outcome: Result<T, ReadError>) -> Result<T, ReadError> {
+        self.record_outcome(!matches!(outcome, Err(ReadError::Unavailable)));
         outcome
     }
 }
 
-/// Counts a call as under way until it is dropped.
+/// Counts a call as in progress until it is dropped.
 struct InFlight<'a>(&'a Cell<usize>);
 
 impl Drop for InFlight<'_> {
@@ -185,48 +191,48 @@
         records: &[KeyedRecord],
         fence: Option<&Fence>,
     ) -> Result<Offset, AppendError> {
-        if !self.open.get() {
+        if !self.available.get() {
             return Err(AppendError::Refused);
         }
         let _guard = self.in_flight();
         let outcome = self.store.append(topic, records, fence).await;
-        // A full queue of appends turns some away while the way is open.
+        // A store whose append queue is full rejects appends although the path works.
         if outcome != Err(AppendError::Refused) {
-            self.note(matches!(outcome, Ok(_) | Err(AppendError::Fenced)));
+            self.record_outcome(matches!(outcome, Ok(_) | Err(AppendError::Fenced)));
         }
         outcome
     }
 
     async fn read(&self, topic: &str, from: Offset, wait: Duration) -> Result<Batch, ReadError> {
-        if !self.open.get() {
+        if !self.available.get() {
             return Err(ReadError::Unavailable);
         }
         let _guard = self.in_flight();
-        self.note_read(self.store.read(topic, from, wait).await)
+        self.record_read(self.store.read(topic, from, wait).await)
     }
 
     async fn end(&self, topic: &str, known: Offset) -> Result<Offset, ReadError> {
-        if !self.open.get() {
+        if !self.available.get() {
             return Err(ReadError::Unavailable);
         }
         let _guard = self.in_flight();
-        self.note_read(self.store.end(topic, known).await)
+        self.record_read(self.store.end(topic, known).await)
     }
 
     async fn newest(&self, topic: &str) -> Result<Snapshot, ReadError> {
-        if !self.open.get() {
+        if !self.available.get() {
             return Err(ReadError::Unavailable);
         }
         let _guard = self.in_flight();
-        self.note_read(self.store.newest(topic).await)
+        self.record_read(self.store.newest(topic).await)
     }
 
     async fn stand(&self, member: &str, generation: u64) -> Result<Candidacy, ReadError> {
-        if !self.open.get() {
+        if !self.available.get() {
             return Err(ReadError::Unavailable);
         }
         let _guard = self.in_flight();
-        self.note_read(self.store.stand(member, generation).await)
+        self.record_read(self.store.stand(member, generation).await)
     }
 
     async fn resign(&self, member: &str) {
@@ -234,7 +240,7 @@
     }
 
     async fn holder(&self) -> Result<Option<NodeName>, ReadError> {
-        self.note_read(self.store.holder().await)
+        self.record_read(self.store.holder().await)
     }
 
     async fn regained(&self) {
--- a/crates/rampbay-peer/src/gateway.rs
+++ b/crates/rampbay-peer/src/gateway.rs
@@ -17,7 +17,7 @@
 use rampbay_jobs::store::{AppendError, Fence, Offset, Store};
 use tokio::time::Instant;
 
-use crate::relay::patience_after;
+use crate::relay::check_delay_after;
 
 /// How long a gateway that failed is passed over.
 const GATEWAY_PAUSE: Duration = Duration::from_millis(1000);
@@ -67,7 +67,7 @@
     /// itself; if all whom it serves went past it, they would flood the store.
     async fn gateway_gone(&self, gateway: &dyn GatewayPeer) {
         loop {
-            tokio::time::sleep(patience_after(self.append_time.get())).await;
+            tokio::time::sleep(check_delay_after(self.append_time.get())).await;
             if !gateway.responds().await {
                 return;
             }
--- a/crates/rampbay-peer/src/relay.rs
+++ b/crates/rampbay-peer/src/relay.rs
@@ -1,9 +1,10 @@
-//! Access to the store through peers, while this process's own way is broken.
+//! Access to the store through peers while this process's direct path is unavailable.
 //!
-//! A store may turn one machine away and serve the others. [`RelayStore`] tries the direct way
-//! first; when that fails it asks peers in turn, and stays with one that serves it, until a probe
-//! finds the direct way open again. A peer serves others out of its direct way only, so that a call
-//! takes one hop at most, and at once says no while that way is broken ([`DirectStore`]).
+//! A store may reject the calls of one machine and serve the others. [`RelayStore`] tries the
+//! direct path first. When that fails it tries peers in turn, and stays with one that succeeds
+//! until a probe finds the direct path available again. A peer serves others only over its own
+//! direct path, so that a call takes one hop at most, and rejects calls at once while that path is
+//! unavailable ([`DirectStore`]).
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,48 +19,51 @@
 };
 use tokio::time::Instant;
 
-use crate::direct::{DirectStore, PROBE_PATIENCE};
+use crate::direct::{DirectStore, PROBE_TIMEOUT};
 
-/// Peers that are asked for one call, at most.
+/// Largest number of peers that are tried for one call.
 const PEERS_PER_CALL: usize = 2;
-/// An append that takes so many times the usual time is looked into.
-const PATIENCE_FACTOR: u32 = 3;
-/// Shortest and longest time until then. The shortest is some ten times a usual append.
-const SHORTEST_PATIENCE: Duration = Duration::from_millis(100);
-const LONGEST_PATIENCE: Duration = Duration::from_millis(2000);
-/// An append takes at most so many times as long as a probe where few write: it may have to wait its
-/// turn behind two of the leader, and those of a few processes that go past it.
-const LEAST_TURN_FACTOR: u32 = 8;
-/// Longest queue of appends at the store; it turns more away (PROTOCOL: over 2 s waiting).
-const LONGEST_QUEUE: Duration = Duration::from_millis(2000);
-/// Time from which on an append is told of: a hundred times the usual.
+/// Multiple of the usual append time after which a pending append is checked.
+const CHECK_DELAY_FACTOR: u32 = 3;
+/// Bounds of the time after which a pending append is checked. The lower one is about ten times the
+/// usual append time.
+const MIN_CHECK_DELAY: Duration = Duration::from_millis(100);
+const MAX_CHECK_DELAY: Duration = Duration::from_millis(2000);
+/// An append takes at most this many times as long as a probe where few processes append: it may
+/// have to queue behind two appends of the leader and those of a few processes that bypass the
+/// leader.
+const MIN_QUEUE_FACTOR: u32 = 8;
+/// Longest queue of appends at the store, which rejects further ones (PROTOCOL: over 2 s waiting).
+const MAX_QUEUE_TIME: Duration = Duration::from_millis(2000);
+/// Duration from which on an append is logged: a hundred times the usual.
 const SLOW_APPEND: Duration = Duration::from_millis(400);
-/// A peer's answer counts against the own way once that hasn't answered in so many times the peer's time, and a
-/// little more: of two machines at one store neither is so much slower by chance.
-const CUT_OFF_FACTOR: u32 = 3;
-const CUT_OFF_SLACK: Duration = Duration::from_millis(30);
-/// Time between two questions whether peers are served.
+/// The direct path is marked unavailable if it hasn't answered within this multiple of a peer's
+/// response time plus a margin: of two machines that use the same store, neither is that much
+/// slower by chance.
+const PEER_COMPARISON_FACTOR: u32 = 3;
+const PEER_COMPARISON_MARGIN: Duration = Duration::from_millis(30);
+/// Pause before the next peer is asked whether the store serves it.
 const COMPARISON_PAUSE: Duration = Duration::from_millis(100);
 
-/// Lists the ways through peers, the nearest first.
+/// Lists the stores of the peers, the nearest peer first.
 pub type PeerList = Box<dyn Fn() -> Rc<[Rc<dyn Store>]>>;
 
-/// Counts the processes that may append on their own.
-pub type Writers = Box<dyn Fn() -> u32>;
+/// Returns the number of processes that may append directly.
+pub type WriterCount = Box<dyn Fn() -> u32>;
 
-/// The store over whichever way is open.
+/// The store, over the direct path or through peers.
 pub struct RelayStore {
     direct: Rc<DirectStore>,
     peers: PeerList,
-    writers: Writers,
-    /// Place in the list of the peer that served last.
+    writers: WriterCount,
+    /// Index in the list of the peer that last succeeded.
     preferred: Cell<usize>,
-    /// How long an append usually takes.
+    /// Moving average of the append time.
     append_time: Cell<Duration>,
 }
 
 impl RelayStore {
-    /// Makes a store over a direct way and peers.
+    /// Creates a store over a direct path and peers.
     #[must_use]
     pub fn new(direct: Rc<DirectStore>, peers: PeerList) -> Self {
         Self {
@@ -71,80 +75,84 @@
         }
     }
 
-    /// Knows how many processes append on their own: so many appends may wait at the store before one.
+    /// Sets how many processes append directly: an append may have to queue at the store behind as
+    /// many others.
     #[must_use]
-    pub fn among(mut self, writers: Writers) -> Self {
+    pub fn with_writer_count(mut self, writers: WriterCount) -> Self {
         self.writers = writers;
         self
     }
 
-    /// Lists peers to ask, the one that served last first.
-    fn candidates(&self) -> Vec<(usize, Rc<dyn Store>)> {
+    /// Lists the peers to try with their indexes, the one that last succeeded first.
+    fn peers_to_try(&self) -> Vec<(usize, Rc<dyn Store>)> {
         let peers = (self.peers)();
         let first = self.preferred.get();
         let count = peers.len();
         let order = (0..count).map(|step| (first + step) % count);
-        order.take(PEERS_PER_CALL).map(|place| (place, Rc::clone(&peers[place]))).collect()
+        order.take(PEERS_PER_CALL).map(|index| (index, Rc::clone(&peers[index]))).collect()
     }
 
-    /// Waits until the direct way is broken: a store may be silent to one machine alone, which would learn it only by
-    /// its own time-outs (2 s an append). So a call that takes long is compared: the store is asked for something
-    /// small over the own way and through a peer. Where it is slow, both ways show it.
-    async fn cut_off(&self) {
+    /// Waits until the direct path is unavailable. A store may stop answering one machine only,
+    /// which on its own would notice after its timeouts (2 s for an append). So when a call takes
+    /// long, a small call is made over the direct path and through a peer, and the response times
+    /// are compared: a slow store is slow over both.
+    async fn direct_path_lost(&self) {
         loop {
-            let Some((place, peer)) = self.candidates().into_iter().next() else {
+            let Some((index, peer)) = self.peers_to_try().into_iter().next() else {
                 return std::future::pending().await;
             };
             let own = self.direct.probe();
             tokio::pin!(own);
             let sent = Instant::now();
-            let is_served = tokio::select! {
-                () = self.direct.closed() => return,
+            let peer_is_served = tokio::select! {
+                () = self.direct.unavailable() => return,
                 answer = &mut own => match answer {
-                    // The way is open. A call that was lost on it is its caller's matter.
+                    // The direct path works. The caller handles a call that was lost on it.
                     Some(_) => return std::future::pending().await,
                     None => false,
                 },
                 holder = peer.holder() => holder.is_ok(),
             };
-            if !is_served {
-                self.prefer(place + 1);
+            if !peer_is_served {
+                self.prefer(index + 1);
                 tokio::time::sleep(COMPARISON_PAUSE).await;
                 continue;
             }
-            let patience = sent.elapsed() * (CUT_OFF_FACTOR - 1) + CUT_OFF_SLACK;
-            if let Ok(Some(_)) = tokio::time::timeout(patience, own).await {
+            let max_wait = sent.elapsed() * (PEER_COMPARISON_FACTOR - 1) + PEER_COMPARISON_MARGIN;
+            if let Ok(Some(_)) = tokio::time::timeout(max_wait, own).await {
                 return std::future::pending().await;
             }
-            self.prefer(place);
-            self.direct.close();
+            self.prefer(index);
+            self.direct.mark_unavailable();
             return;
         }
     }
 
-    /// Waits until the direct way is broken, or is found to be after some time.
-    async fn cut_off_after(&self, time: Duration) {
+    /// Waits until the direct path is unavailable, or a comparison that starts after `time` finds
+    /// that it is.
+    async fn direct_path_lost_after(&self, time: Duration) {
         tokio::select! {
-            () = self.direct.closed() => return,
+            () = self.direct.unavailable() => return,
             () = tokio::time::sleep(time) => {}
         }
-        self.cut_off().await;
+        self.direct_path_lost().await;
     }
 
-    /// Makes a call over the direct way, and gives it up where only that way is broken. `wait` is how long the store
-    /// is asked to wait.
-    async fn unless_cut_off<T>(
+    /// Makes a call over the direct path, and abandons the call once the path is found to be
+    /// unavailable. `wait` is how long the store is asked to wait.
+    async fn over_direct_path<T>(
         &self,
         wait: Duration,
         call: impl Future<Output = Result<T, ReadError>>,
     ) -> Result<T, ReadError> {
         tokio::select! {
             outcome = call => outcome,
-            () = self.cut_off_after(wait + self.patience()) => Err(ReadError::Unavailable),
+            () = self.direct_path_lost_after(wait + self.check_delay()) => Err(ReadError::Unavailable),
         }
     }
 
-    /// Makes a call that reads through peers in turn, where the direct way is broken.
+    /// Returns the outcome of a read over the direct path, or tries the read through peers in turn
+    /// if the store was unavailable.
     async fn or_through_peers<T>(
         &self,
         direct: Result<T, ReadError>,
@@ -154,99 +162,102 @@
         if !matches!(outcome, Err(ReadError::Unavailable)) {
             return outcome;
         }
-        for (place, peer) in self.candidates() {
+        for (index, peer) in self.peers_to_try() {
             outcome = call(peer.as_ref()).await;
             if !matches!(outcome, Err(ReadError::Unavailable)) {
-                self.prefer(place);
+                self.prefer(index);
                 break;
             }
-            self.prefer(place + 1);
+            self.prefer(index + 1);
         }
         outcome
     }
 
-    fn prefer(&self, place: usize) {
-        self.preferred.set(place);
+    fn prefer(&self, index: usize) {
+        self.preferred.set(index);
     }
 
-    /// Lists the ways of one append: direct, through peers, and direct once more where peers have
-    /// been asked meanwhile.
-    fn append_ways(&self) -> Vec<Way> {
-        let direct = Way { kind: WayKind::Direct, store: Rc::clone(&self.direct) as Rc<dyn Store> };
-        let peers = self.candidates();
+    /// Lists the paths to try for one append: the direct one, those through peers, and the direct
+    /// one once more if there are peers.
+    fn append_paths(&self) -> Vec<CallPath> {
+        let direct =
+            CallPath { kind: PathKind::Direct, store: Rc::clone(&self.direct) as Rc<dyn Store> };
+        let peers = self.peers_to_try();
         let again = (!peers.is_empty()).then(|| self.direct_again());
         let peers = peers.into_iter();
-        let peers = peers.map(|(place, store)| Way { kind: WayKind::Peer(place), store });
+        let peers = peers.map(|(index, store)| CallPath { kind: PathKind::Peer(index), store });
         std::iter::once(direct).chain(peers).chain(again).collect()
     }
 
-    /// Returns the direct way, whether it is taken to be open or not.
-    fn direct_again(&self) -> Way {
-        Way { kind: WayKind::Direct, store: self.direct.unchecked() }
+    /// Returns the direct path, even if it counts as unavailable.
+    fn direct_again(&self) -> CallPath {
+        CallPath { kind: PathKind::Direct, store: self.direct.unchecked() }
     }
 
-    /// Waits until an append without answer should be sent once more. Slowness is no reason: a
-    /// repeat would only make the queue at the store longer. A store that answers a probe, but not
-    /// the append within several times as long, has lost it. A store that doesn't answer the probe
-    /// may be reached another way, if there is one left.
-    async fn repeat_due(&self, sent: Instant, ways_left: bool) {
-        tokio::time::sleep(self.patience()).await;
-        let answered = self.direct.answered();
-        let took = if ways_left {
-            tokio::time::timeout(PROBE_PATIENCE, answered).await.unwrap_or_default()
+    /// Waits until an unanswered append should be sent again. Slowness alone is no reason: a retry
+    /// would only lengthen the queue at the store. A store that answers a probe but not the append
+    /// within several times the probe's time has lost the append. A store that doesn't answer the
+    /// probe may be reachable over another path, if there is one left.
+    async fn retry_due(&self, sent: Instant, paths_left: bool) {
+        tokio::time::sleep(self.check_delay()).await;
+        let time_to_answer = self.direct.time_to_answer();
+        let took = if paths_left {
+            tokio::time::timeout(PROBE_TIMEOUT, time_to_answer).await.unwrap_or_default()
         } else {
-            answered.await
+            time_to_answer.await
         };
-        let factor = (self.writers)().max(LEAST_TURN_FACTOR);
-        let turn = (took * factor).min(LONGEST_QUEUE + took);
-        tokio::time::sleep_until(sent + turn).await;
+        let factor = (self.writers)().max(MIN_QUEUE_FACTOR);
+        let queue_time = (took * factor).min(MAX_QUEUE_TIME + took);
+        tokio::time::sleep_until(sent + queue_time).await;
     }
 
-    fn patience(&self) -> Duration {
-        patience_after(self.append_time.get())
+    fn check_delay(&self) -> Duration {
+        check_delay_after(self.append_time.get())
     }
 
-    fn note_append(&self, way: WayKind, took: Duration) {
+    fn record_append(&self, path: PathKind, took: Duration) {
         if took > SLOW_APPEND {
-            log::info!("event=J107 append took long way={way:?} took_ms={}", took.as_millis());
+            log::info!("event=J107 slow append way={path:?} took_ms={}", took.as_millis());
         }
-        if let WayKind::Peer(place) = way {
-            self.prefer(place);
+        if let PathKind::Peer(index) = path {
+            self.prefer(index);
         }
         let before = self.append_time.get();
         self.append_time.set((before * 3 + took) / 4);
     }
 }
 
-/// Returns how long an append may take before it is looked into, given how long one usually takes.
-pub(crate) fn patience_after(usual: Duration) -> Duration {
-    (usual * PATIENCE_FACTOR).clamp(SHORTEST_PATIENCE, LONGEST_PATIENCE)
+/// Returns how long an append may take before it is checked, given how long one usually takes.
+pub(crate) fn check_delay_after(usual: Duration) -> Duration {
+    (usual * CHECK_DELAY_FACTOR).clamp(MIN_CHECK_DELAY, MAX_CHECK_DELAY)
 }
 
-/// Which way a call takes.
+/// The kind of path that a call takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum WayKind {
-    /// Direct.
+enum PathKind {
+    /// Directly.
     Direct,
-    /// Through the peer at this place of the list.
+    /// Through the peer at this index of the list.
     Peer(usize),
 }
 
-/// One way of a call.
-struct Way {
-    kind: WayKind,
+/// One path of a call.
+struct CallPath {
+    kind: PathKind,
     store: Rc<dyn Store>,
 }
 
 #[async_trait(?Send)]
 impl Store for RelayStore {
-    /// Appends over one way, and over the next ones when that fails or loses the call; the first
-    /// that is settled counts. It is refused only if every way refused it.
+    /// Appends over one path, and over the next ones when that path fails or loses the call. The
+    /// first definite outcome counts. Returns [`AppendError::Refused`] only if every path refused
+    /// the append.
     ///
-    /// The other copies may still be done, seconds after this one and after later appends. A fenced append is
-    /// then answered again, or turned away. An unfenced one is done again: that does no harm while nothing
-    /// newer was written under its keys. Whoever changes or removes a key later has to tell an old record
-    /// by what it says.
+    /// The other copies may still be applied, seconds after this one and after later appends. A
+    /// fenced copy is then answered again without being applied twice, or rejected. An unfenced
+    /// copy is applied again, which does no harm while nothing newer was written under its keys. A
+    /// writer that later changes or removes a key must be able to recognize an old record by its
+    /// content.
     async fn append(
         &self,
         topic: &str,
@@ -254,35 +265,35 @@
         fence: Option<&Fence>,
     ) -> Result<Offset, AppendError> {
         let mut failure = AppendError::Refused;
-        let send = |way: Way| async move {
+        let send = |path: CallPath| async move {
             let started = Instant::now();
-            let outcome = way.store.append(topic, records, fence).await;
-            (way, started.elapsed(), outcome)
+            let outcome = path.store.append(topic, records, fence).await;
+            (path, started.elapsed(), outcome)
         };
-        let mut ways = self.append_ways().into_iter();
+        let mut paths = self.append_paths().into_iter();
         let mut sent = FuturesUnordered::new();
-        sent.extend(ways.next().map(send));
-        let mut is_compared = self.direct.is_open();
+        sent.extend(paths.next().map(send));
+        let mut may_compare = self.direct.is_available();
         while !sent.is_empty() {
             let sent_at = Instant::now();
             let next = tokio::select! {
-                Some((way, took, outcome)) = sent.next() => match outcome {
-                    Err(AppendError::Refused) => ways.next(),
+                Some((path, took, outcome)) = sent.next() => match outcome {
+                    Err(AppendError::Refused) => paths.next(),
                     Err(AppendError::Unknown) => {
                         failure = AppendError::Unknown;
-                        ways.next()
+                        paths.next()
                     }
                     settled => {
-                        self.note_append(way.kind, took);
+                        self.record_append(path.kind, took);
                         return settled;
                     }
                 },
-                () = self.repeat_due(sent_at, ways.len() > 0) => {
-                    ways.next().or_else(|| Some(self.direct_again()))
+                () = self.retry_due(sent_at, paths.len() > 0) => {
+                    paths.next().or_else(|| Some(self.direct_again()))
                 }
-                () = self.cut_off_after(self.patience()), if is_compared => {
-                    is_compared = false;
-                    ways.next()
+                () = self.direct_path_lost_after(self.check_delay()), if may_compare => {
+                    may_compare = false;
+                    paths.next()
                 }
             };
             sent.extend(next.map(send));
@@ -291,18 +302,18 @@
     }
 
     async fn read(&self, topic: &str, from: Offset, wait: Duration) -> Result<Batch, ReadError> {
-        let direct = self.unless_cut_off(wait, self.direct.read(topic, from, wait)).await;
+        let direct = self.over_direct_path(wait, self.direct.read(topic, from, wait)).await;
         self.or_through_peers(direct, async |peer| peer.read(topic, from, wait).await).await
     }
 
     async fn newest(&self, topic: &str) -> Result<Snapshot, ReadError> {
-        let direct = self.unless_cut_off(Duration::ZERO, self.direct.newest(topic)).await;
+        let direct = self.over_direct_path(Duration::ZERO, self.direct.newest(topic)).await;
         self.or_through_peers(direct, async |peer| peer.newest(topic).await).await
     }
 
     async fn stand(&self, member: &str, generation: u64) -> Result<Candidacy, ReadError> {
         let direct =
-            self.unless_cut_off(Duration::ZERO, self.direct.stand(member, generation)).await;
+            self.over_direct_path(Duration::ZERO, self.direct.stand(member, generation)).await;
         self.or_through_peers(direct, async |peer| peer.stand(member, generation).await).await
     }
 
@@ -311,7 +322,7 @@
     }
 
     async fn holder(&self) -> Result<Option<NodeName>, ReadError> {
-        let direct = self.unless_cut_off(Duration::ZERO, self.direct.holder()).await;
+        let direct = self.over_direct_path(Duration::ZERO, self.direct.holder()).await;
         self.or_through_peers(direct, async |peer| peer.holder().await).await
     }
 
--- a/crates/rampbay-peer/src/routes.rs
+++ b/crates/rampbay-peer/src/routes.rs
@@ -17,7 +17,7 @@
 
 use crate::gateway::{GatewayPeer, Gateways};
 use crate::peer::PeerStore;
-use crate::relay::{PeerList, Writers};
+use crate::relay::{PeerList, WriterCount};
 use crate::tail::{Sources, TailSources};
 use crate::transport::Transport;
 use crate::tree::{Tree, ample, entries, leader_pollers, rank};
@@ -91,7 +91,7 @@
     /// Counts the processes that append on their own beside this one: hardly any beside the leader; beside another one,
     /// whose way through the leader must have failed, all other entries.
     #[must_use]
-    pub fn writers(self) -> Writers {
+    pub fn writers(self) -> WriterCount {
         Box::new(self.remembered(|routes, table| {
             let leads = table.leader.node == routes.settings.node;
             if leads { 1 } else { entries(table).count() as u32 + 1 }
--- a/crates/rampbay-peer/src/stack.rs
+++ b/crates/rampbay-peer/src/stack.rs
@@ -94,9 +94,10 @@
         };
         // Peers are served out of the direct way alone, so that a call takes one hop at most.
         let no_peers: PeerList = Box::new(|| Rc::from([]));
-        let alone = RelayStore::new(Rc::clone(&direct), no_peers).among(routes.clone().writers());
+        let alone = RelayStore::new(Rc::clone(&direct), no_peers)
+            .with_writer_count(routes.clone().writers());
         let relay = RelayStore::new(Rc::clone(&direct), routes.clone().relays());
-        let relay = relay.among(routes.clone().writers());
+        let relay = relay.with_writer_count(routes.clone().writers());
         let relay = for_peers(Rc::new(MeteredStore::new(Rc::new(relay), Counted::Any)));
         let gateways = match &subscription {
             Subscription::Everything { .. } => routes.clone().gateways_of_entry(),
@@ -127,7 +128,7 @@
                 reports.pass_on(self.store.as_ref()).await;
             }
         };
-        tokio::join!(self.direct.probe_for_ever(), announce, pass_on, observe);
+        tokio::join!(self.direct.run_probes(), announce, pass_on, observe);
     }
 }
 
--- a/crates/rampbay-peer/tests/relay.rs
+++ b/crates/rampbay-peer/tests/relay.rs
@@ -183,7 +183,7 @@
         let store = Scripted::answering(UNKNOWN);
         store.readable.set(false);
         let direct = DirectStore::new(Rc::clone(&store) as Rc<dyn Store>, PROBE_INTERVAL);
-        tokio::task::spawn_local(Rc::clone(&direct).probe_for_ever());
+        tokio::task::spawn_local(Rc::clone(&direct).run_probes());
         for _ in 0..2 {
             assert!(direct.read(STATE_TOPIC, 0, Duration::ZERO).await.is_err());
         }
@@ -319,7 +319,7 @@
     on_virtual_time(async {
         let store = Scripted::answering(Ok(1));
         let direct = DirectStore::new(Rc::clone(&store) as Rc<dyn Store>, PROBE_INTERVAL);
-        tokio::task::spawn_local(Rc::clone(&direct).probe_for_ever());
+        tokio::task::spawn_local(Rc::clone(&direct).run_probes());
         let watching = Rc::clone(&direct);
         let regained = tokio::task::spawn_local(async move { watching.regained().await });
         tokio::time::sleep(Duration::from_secs(10)).await;
@@ -389,7 +389,7 @@
         store.readable.set(false);
         let way = Rc::clone(&store) as Rc<dyn Store>;
         let direct = DirectStore::new(way, Duration::from_millis(1000));
-        tokio::task::spawn_local(Rc::clone(&direct).probe_for_ever());
+        tokio::task::spawn_local(Rc::clone(&direct).run_probes());
         for _ in 0..2 {
             assert!(direct.read(STATE_TOPIC, 0, Duration::ZERO).await.is_err());
         }
@@ -426,7 +426,7 @@
         let queued = Scripted::answering(Ok(5));
         queued.delay.set(Duration::from_millis(250));
         queued.read_delay.set(Duration::from_millis(6));
-        let store = relay(&queued, &[]).among(Box::new(move || writers));
+        let store = relay(&queued, &[]).with_writer_count(Box::new(move || writers));
         assert_eq!(store.append(STATE_TOPIC, &[], None).await, Ok(5));
         assert_eq!(queued.appends.get(), appends);
     });
