--- a/crates/rampbay-peer/src/direct.rs
+++ b/crates/rampbay-peer/src/direct.rs
@@ -18,7 +18,7 @@
 /// than a read waits for a record.
 const PROBE_AFTER_SILENCE: Duration = Duration::from_millis(1300);
 /// Failed calls in a row after which the direct path is marked unavailable.
-const MAX_CONSECUTIVE_FAILURES: u32 = 2;
+const FAILURES_UNTIL_UNAVAILABLE: u32 = 2;
 /// Time without an answer to a probe after which the store is suspected to be down: longer than a
 /// read takes at a store that is a hundred times slower than usual.
 pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
@@ -136,7 +136,8 @@
     fn record_outcome(&self, succeeded: bool) {
         let failures = if succeeded { 0 } else { self.failures.get() + 1 };
         self.failures.set(failures);
-        let available = failures < MAX_CONSECUTIVE_FAILURES && (succeeded || self.available.get());
+        let available =
+            failures < FAILURES_UNTIL_UNAVAILABLE && (succeeded || self.available.get());
         if !available {
             self.mark_unavailable();
         } else if !self.available.replace(true) {
--- a/crates/rampbay-peer/src/gateway.rs
+++ b/crates/rampbay-peer/src/gateway.rs
@@ -1,10 +1,11 @@
-//! Appends through a peer that gathers those of many processes.
+//! Appends through a gateway: a peer that batches the appends of many processes.
 //!
-//! A partition of the store takes appends in turn, 250 a second, and four where it is 60 times slower than usual. If
-//! every entry brought what it takes in there by itself, the queue at a slow store would grow with the fleet: with
-//! 183 entries to its limit of two seconds, at which callers got no answer. So entries and agents hand their appends
-//! to the leader, which the planner's own go beside: two are under way, whatever the size of the fleet. A gateway that
-//! fails is followed by another one; where none is left, a process appends by itself.
+//! A partition of the store applies appends one after the other: 250 a second, and four a second
+//! where the store is 60 times slower than usual. If every entry appended directly, the queue at a
+//! slow store would grow with the fleet: with 183 entries it reached its limit of two seconds, at
+//! which callers got no answer. So entries and agents hand their appends to the leader, whose
+//! planner appends separately. Two appends are then in progress, whatever the size of the fleet. If
+//! a gateway fails, the next one is tried; if none is left, the process appends directly.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,53 +20,54 @@
 
 use crate::relay::check_delay_after;
 
-/// How long a gateway that failed is passed over.
+/// How long a gateway that failed isn't used.
 const GATEWAY_PAUSE: Duration = Duration::from_millis(1000);
-/// Gateways that are tried for one append, at most.
+/// Largest number of gateways that are tried for one append.
 const GATEWAYS_PER_APPEND: usize = 2;
 
-/// A peer that gathers the appends of others, and sees to it that they get to the store.
+/// A peer that batches the appends of other processes and delivers them to the store.
 #[async_trait(?Send)]
 pub trait GatewayPeer: Store {
-    /// Returns its name.
+    /// Returns the name of the peer.
     fn name(&self) -> &str;
-    /// Returns whether its process answers.
+    /// Returns whether the peer's process answers a ping.
     async fn responds(&self) -> bool;
 }
 
-/// Lists the peers that gather the appends of others, the best first.
+/// Lists the gateways, the preferred one first.
 pub type Gateways = Box<dyn Fn() -> Rc<[Rc<dyn GatewayPeer>]>>;
 
-/// A store whose unfenced appends go through a gateway where they can.
+/// A store whose unfenced appends go through a gateway if one is usable.
 pub struct GatewayStore {
     store: Rc<dyn Store>,
     gateways: Gateways,
-    /// Gateways that failed, by their names, and until when they are passed over.
+    /// Gateways that failed, by name, and the time until which each isn't used.
     paused: RefCell<BTreeMap<String, Instant>>,
-    /// How long an append through a gateway usually takes.
+    /// Moving average of the time of an append through a gateway.
     append_time: Cell<Duration>,
 }
 
 impl GatewayStore {
-    /// Makes a store over gateways and the process's own ways.
+    /// Creates a store that prefers gateways and falls back to `store`.
     #[must_use]
     pub fn new(store: Rc<dyn Store>, gateways: Gateways) -> Self {
         Self { store, gateways, paused: RefCell::default(), append_time: Cell::new(Duration::ZERO) }
     }
 
-    /// Lists the gateways that haven't failed lately.
-    fn open_gateways(&self) -> Vec<Rc<dyn GatewayPeer>> {
+    /// Lists the gateways that haven't failed recently.
+    fn usable_gateways(&self) -> Vec<Rc<dyn GatewayPeer>> {
         let now = Instant::now();
         let mut paused = self.paused.borrow_mut();
         paused.retain(|_, until| now < *until);
         let gateways = (self.gateways)();
-        let open = gateways.iter().filter(|gateway| !paused.contains_key(gateway.name()));
-        open.take(GATEWAYS_PER_APPEND).map(Rc::clone).collect()
+        let usable = gateways.iter().filter(|gateway| !paused.contains_key(gateway.name()));
+        usable.take(GATEWAYS_PER_APPEND).map(Rc::clone).collect()
     }
 
-    /// Waits until the gateway is found to be gone. While its process answers, it sees to the append
-    /// itself; if all whom it serves went past it, they would flood the store.
-    async fn gateway_gone(&self, gateway: &dyn GatewayPeer) {
+    /// Waits until the gateway doesn't answer a ping. As long as its process answers, the gateway
+    /// handles the append itself: if all processes that it serves bypassed it, they would overload
+    /// the store.
+    async fn gateway_unreachable(&self, gateway: &dyn GatewayPeer) {
         loop {
             tokio::time::sleep(check_delay_after(self.append_time.get())).await;
             if !gateway.responds().await {
@@ -74,27 +76,28 @@
         }
     }
 
-    /// Appends through a gateway. After [`AppendError::Refused`] and [`AppendError::Unknown`] another way
-    /// has to be taken; after the latter a gateway may still bring the records to the store.
+    /// Appends through a gateway. After [`AppendError::Refused`] and [`AppendError::Unknown`]
+    /// another path has to be taken; after the latter a gateway may still deliver the records to
+    /// the store.
     async fn append_through_gateway(
         &self,
         topic: &str,
         records: &[KeyedRecord],
     ) -> Result<Offset, AppendError> {
         let mut failure = AppendError::Refused;
-        for gateway in self.open_gateways() {
+        for gateway in self.usable_gateways() {
             let started = Instant::now();
             let outcome = tokio::select! {
                 outcome = gateway.append(topic, records, None) => outcome,
-                () = self.gateway_gone(gateway.as_ref()) => Err(AppendError::Unknown),
+                () = self.gateway_unreachable(gateway.as_ref()) => Err(AppendError::Unknown),
             };
             match outcome {
                 Ok(_) | Err(AppendError::Fenced) => {
-                    self.note_append(started.elapsed());
+                    self.record_append(started.elapsed());
                     return outcome;
                 }
                 Err(error) => {
-                    self.pass_over(gateway.name(), &error);
+                    self.pause_gateway(gateway.name(), &error);
                     if error == AppendError::Unknown {
                         failure = error;
                     }
@@ -104,13 +107,13 @@
         Err(failure)
     }
 
-    fn pass_over(&self, gateway: &str, error: &AppendError) {
-        log::info!("event=J108 gateway passed over gateway={gateway} error={error}");
+    fn pause_gateway(&self, gateway: &str, error: &AppendError) {
+        log::info!("event=J108 gateway paused gateway={gateway} error={error}");
         let until = Instant::now() + GATEWAY_PAUSE;
         self.paused.borrow_mut().insert(gateway.to_owned(), until);
     }
 
-    fn note_append(&self, took: Duration) {
+    fn record_append(&self, took: Duration) {
         self.append_time.set((self.append_time.get() * 3 + took) / 4);
     }
 }
@@ -121,7 +124,8 @@
         self.store.as_ref()
     }
 
-    /// Appends through a gateway; where that fails, over the process's own ways. It is refused only if all refused it.
+    /// Appends through a gateway, or over the process's own paths if that fails. Returns
+    /// [`AppendError::Refused`] only if all of them refused the append.
     async fn append(
         &self,
         topic: &str,
--- a/crates/rampbay-peer/src/group.rs
+++ b/crates/rampbay-peer/src/group.rs
@@ -1,8 +1,10 @@
-//! Group commit: one append a topic under way, and what comes meanwhile rides in the next one.
+//! Group commit: one append per topic is in progress, and records that arrive meanwhile form the
+//! next batch.
 //!
-//! A partition of the store takes its appends in turn. While the store is slow, appends of many
-//! callers, one by one, would queue there faster than it can take them; as one batch they cost no
-//! more than a single one. An idle process appends at once, so nothing waits for company.
+//! A partition of the store applies its appends one after the other. While the store is slow,
+//! individual appends of many callers would queue there faster than they are applied; a batch costs
+//! no more than a single append. An idle process appends at once, so no record waits for a batch to
+//! fill.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -16,67 +18,68 @@
 
 type Outcome = Result<Offset, AppendError>;
 
-/// Records that wait for the next batch.
-struct Waiting {
+/// The records of one caller that wait for the next batch.
+struct PendingAppend {
     records: Vec<KeyedRecord>,
     outcome: oneshot::Sender<Outcome>,
 }
 
-impl Waiting {
+impl PendingAppend {
     fn bytes(&self) -> usize {
         self.records.iter().map(KeyedRecord::size).sum()
     }
 }
 
-/// What waits for one topic, and whether a batch is under way.
+/// The pending appends of one topic, and whether a batch is in progress.
 #[derive(Default)]
 struct Queue {
-    waiting: RefCell<VecDeque<Waiting>>,
+    pending: RefCell<VecDeque<PendingAppend>>,
     busy: Cell<bool>,
 }
 
 impl Queue {
-    /// Takes the next batch. Records whose callers have given up are left out: they are surely not
-    /// appended.
-    fn next_batch(&self) -> Vec<Waiting> {
-        let mut waiting = self.waiting.borrow_mut();
-        waiting.retain(|entry| !entry.outcome.is_closed());
+    /// Takes the next batch. Records whose callers have given up are dropped, so those callers can
+    /// rely on their records not being appended.
+    fn next_batch(&self) -> Vec<PendingAppend> {
+        let mut pending = self.pending.borrow_mut();
+        pending.retain(|entry| !entry.outcome.is_closed());
         let mut batch = Vec::new();
         let mut bytes = 0;
-        while let Some(entry) = waiting.front() {
+        while let Some(entry) = pending.front() {
             bytes += entry.bytes();
             if !batch.is_empty() && bytes > BYTES_PER_APPEND {
                 break;
             }
-            batch.extend(waiting.pop_front());
+            batch.extend(pending.pop_front());
         }
         batch
     }
 }
 
 /// Marks a queue as busy until it is dropped.
-struct Busy(Rc<Queue>);
+struct BatchGuard(Rc<Queue>);
 
-impl Busy {
+impl BatchGuard {
     fn new(queue: &Rc<Queue>) -> Option<Self> {
         (!queue.busy.replace(true)).then(|| Self(Rc::clone(queue)))
     }
 }
 
-impl Drop for Busy {
+impl Drop for BatchGuard {
     fn drop(&mut self) {
         self.0.busy.set(false);
     }
 }
 
-/// A store whose unfenced appends go in groups. Fenced ones have an order of their own and pass.
+/// A store that batches unfenced appends. Fenced ones have a sequence of their own and are passed
+/// through.
 pub struct GroupStore {
     store: Rc<dyn Store>,
     queues: RefCell<BTreeMap<String, Rc<Queue>>>,
 }
 
 impl GroupStore {
-    /// Makes a store that groups the appends to another.
+    /// Creates a store that batches the appends to `store`.
     #[must_use]
     pub fn new(store: Rc<dyn Store>) -> Self {
         Self { store, queues: RefCell::default() }
@@ -87,15 +90,16 @@
         Rc::clone(queues.entry(topic.to_owned()).or_default())
     }
 
-    /// Appends batch after batch until nothing waits.
+    /// Appends batch after batch until none is pending.
     fn start(&self, topic: &str, queue: &Rc<Queue>) {
-        let Some(busy) = Busy::new(queue) else { return };
+        let Some(busy) = BatchGuard::new(queue) else { return };
         let store = Rc::clone(&self.store);
         let topic = topic.to_owned();
         tokio::task::spawn_local(async move {
             loop {
-                // Callers that have gone are noticed first: after a stop of this process their connections'
-                // ends wait beside their calls, and what they have written elsewhere since is newer.
+                // Detects callers that have disconnected. After this process was suspended, the
+                // ends of their connections are queued beside their calls, and they may have
+                // written newer records elsewhere since.
                 tokio::task::yield_now().await;
                 let batch = busy.0.next_batch();
                 if batch.is_empty() {
@@ -107,17 +111,18 @@
     }
 }
 
-async fn append_batch(store: &dyn Store, topic: &str, batch: Vec<Waiting>) {
+async fn append_batch(store: &dyn Store, topic: &str, batch: Vec<PendingAppend>) {
     let records: Vec<KeyedRecord> =
         batch.iter().flat_map(|entry| entry.records.iter().cloned()).collect();
     let outcome = store.append(topic, &records, None).await;
     let mut following = records.len();
     for entry in batch {
         following -= entry.records.len();
-        // Where its own records end: whoever took the end of the batch for it would pass over the others'.
-        let own = outcome.clone().map(|end| end.saturating_sub(following as Offset));
-        // A caller that has given up needs no answer.
-        let _ = entry.outcome.send(own);
+        // The offset after the caller's own records: a caller that got the end of the batch would
+        // skip the records of the other callers.
+        let own_end = outcome.clone().map(|end| end.saturating_sub(following as Offset));
+        // A caller that has given up doesn't receive the outcome.
+        let _ = entry.outcome.send(own_end);
     }
 }
 
@@ -133,7 +138,10 @@
         }
         let (tx, rx) = oneshot::channel();
         let queue = self.queue(topic);
-        queue.waiting.borrow_mut().push_back(Waiting { records: records.to_vec(), outcome: tx });
+        queue
+            .pending
+            .borrow_mut()
+            .push_back(PendingAppend { records: records.to_vec(), outcome: tx });
         self.start(topic, &queue);
         rx.await.unwrap_or(Err(AppendError::Unknown))
     }
--- a/crates/rampbay-peer/src/metered.rs
+++ b/crates/rampbay-peer/src/metered.rs
@@ -1,4 +1,4 @@
-//! Counts the calls to the store.
+//! Counts the calls to the store in the metrics.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,9 +16,9 @@
 /// Which calls are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Counted {
-    /// Those that reach the store itself; they are priced.
+    /// Calls that reach the store itself, which are billed.
     Direct,
-    /// What the process asks of all its ways. The time of an append counts here.
+    /// Calls of the process over any path. Append times are measured here.
     Any,
 }
 
@@ -29,13 +29,13 @@
 }
 
 impl MeteredStore {
-    /// Counts the calls to a store.
+    /// Creates a store that counts the calls to `store`.
     #[must_use]
     pub fn new(store: Rc<dyn Store>, counted: Counted) -> Self {
         Self { store, counted }
     }
 
-    fn note(&self, operation: &'static str, topic: &str, outcome: &'static str) {
+    fn count(&self, operation: &'static str, topic: &str, outcome: &'static str) {
         let way = match self.counted {
             Counted::Direct => "direct",
             Counted::Any => "any",
@@ -78,42 +78,42 @@
         if self.counted == Counted::Any {
             metrics().append_seconds.observe(started.elapsed().as_secs_f64());
         }
-        self.note("append", topic, append_outcome(&outcome));
+        self.count("append", topic, append_outcome(&outcome));
         outcome
     }
 
     async fn read(&self, topic: &str, from: Offset, wait: Duration) -> Result<Batch, ReadError> {
         let outcome = self.store.read(topic, from, wait).await;
-        self.note("read", topic, read_outcome(&outcome));
+        self.count("read", topic, read_outcome(&outcome));
         outcome
     }
 
     async fn end(&self, topic: &str, known: Offset) -> Result<Offset, ReadError> {
         let outcome = self.store.end(topic, known).await;
-        self.note("end", topic, read_outcome(&outcome));
+        self.count("end", topic, read_outcome(&outcome));
         outcome
     }
 
     async fn newest(&self, topic: &str) -> Result<Snapshot, ReadError> {
         let outcome = self.store.newest(topic).await;
-        self.note("newest", topic, read_outcome(&outcome));
+        self.count("newest", topic, read_outcome(&outcome));
         outcome
     }
 
     async fn stand(&self, member: &str, generation: u64) -> Result<Candidacy, ReadError> {
         let outcome = self.store.stand(member, generation).await;
-        self.note("stand", "", read_outcome(&outcome));
+        self.count("stand", "", read_outcome(&outcome));
         outcome
     }
 
     async fn resign(&self, member: &str) {
         self.store.resign(member).await;
-        self.note("resign", "", "sent");
+        self.count("resign", "", "sent");
     }
 
     async fn holder(&self) -> Result<Option<NodeName>, ReadError> {
         let outcome = self.store.holder().await;
-        self.note("holder", "", read_outcome(&outcome));
+        self.count("holder", "", read_outcome(&outcome));
         outcome
     }
 }
--- a/crates/rampbay-peer/src/peer.rs
+++ b/crates/rampbay-peer/src/peer.rs
@@ -1,4 +1,4 @@
-//! The store, and what a peer follows of it, as one peer passes them on.
+//! The store as a peer forwards it, and the topics that the peer follows.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,55 +16,58 @@
 use crate::protocol::{StoreReply, StoreRequest};
 use crate::transport::Transport;
 
-/// Longest time for an answer that needn't wait at the store: a peer's own call, and the way there.
+/// Timeout of a call that doesn't wait at the store: the peer's own call, and the transfer between
+/// the processes.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2300);
-/// Longest time of an append through a gateway: more than the outages of the store that are worth
-/// waiting for. Until then the gateway is pinged.
+/// Timeout of an append through a gateway: longer than the outages of the store that are worth
+/// waiting for. Meanwhile the gateway is pinged.
 const GATEWAY_TIMEOUT: Duration = Duration::from_secs(12);
-/// Longest time for the answer to a ping, or to reports: a process that takes longer is frozen, cut off or gone.
+/// Timeout of a ping, and of a call that hands in reports: a process that takes longer is
+/// suspended, unreachable or down.
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time for the state as a whole: the peer asks the store first, and a state of some megabytes goes over a
-/// link of 20 Mbit/s.
+/// Timeout of a read of the whole state: the peer asks the store first, and some megabytes of state
+/// are sent over a link of 20 Mbit/s.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Added to a read's wait at the store.
+/// Added to the wait of a read at the store for the timeout of the call.
 const READ_SLACK: Duration = Duration::from_millis(950);
-/// Added to the wait for records that a peer follows itself.
+/// Added to the wait for records that the peer follows itself, for the timeout of the call.
 const TAIL_SLACK: Duration = Duration::from_millis(200);
 
-/// The store as one peer reaches it.
+/// The store, reached through one peer.
 #[derive(Clone)]
 pub struct PeerStore {
     transport: Rc<dyn Transport>,
     address: String,
-    /// Whether the peer gathers appends and sees to them itself.
+    /// Whether the peer batches appends and retries them itself.
     is_gateway: bool,
 }
 
 impl PeerStore {
-    /// Makes a client of the peer at an address.
+    /// Creates a client of the peer at `address`, `IP:PORT`.
     #[must_use]
     pub fn new(transport: Rc<dyn Transport>, address: String) -> Self {
         Self { transport, address, is_gateway: false }
     }
 
-    /// Returns where the peer is reached, `IP:PORT`.
+    /// Returns the address of the peer, `IP:PORT`.
     #[must_use]
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Gives the peer the time that it needs to see to an append itself.
+    /// Sends unfenced appends to the peer as a gateway, with a timeout that lets it retry them
+    /// itself.
     #[must_use]
     pub fn as_gateway(mut self) -> Self {
         self.is_gateway = true;
         self
     }
 
-    /// Reads records of a topic that the peer follows itself: all, or those that an agent needs.
+    /// Reads records of a topic that the peer follows itself: all, or those that concern an agent.
     ///
     /// # Errors
     ///
-    /// Returns an error if the peer can't be reached or doesn't keep them.
+    /// Returns an error if the peer can't be reached or doesn't hold these records.
     pub async fn tail(
         &self,
         topic: &str,
@@ -75,15 +78,17 @@
         let wait_ms = wait.as_millis() as u64;
         let is_partial = agent.is_some();
         let request = StoreRequest::Tail { topic: topic.to_owned(), from, wait_ms, agent };
-        let batch = self.call_to_read(&request, wait_ms, wait + TAIL_SLACK).await?;
+        let batch = self.call_read(&request, wait_ms, wait + TAIL_SLACK).await?;
         Ok(Batch { is_partial, ..batch })
     }
 
-    /// Reads the newest record of each key of the state that the peer follows: all, or those that an agent needs.
+    /// Reads the newest record of each key of the state that the peer follows: all, or those that
+    /// concern an agent.
     ///
     /// # Errors
     ///
-    /// Returns an error if the peer can't be reached, or doesn't know the state well enough.
+    /// Returns an error if the peer can't be reached, or its view of the state isn't current
+    /// enough.
     pub async fn snapshot(&self, agent: Option<NodeName>) -> Result<Snapshot, ReadError> {
         match self.call(&StoreRequest::Snapshot { agent }, SNAPSHOT_TIMEOUT).await {
             Ok(StoreReply::Newest(outcome)) => outcome,
@@ -91,7 +96,8 @@
         }
     }
 
-    /// Lists the entries that the peer knows to read through; none if it can't be reached.
+    /// Lists the entries that the peer knows and records can be read through; none if the peer
+    /// can't be reached.
     pub async fn entries(&self) -> Vec<Member> {
         match self.call(&StoreRequest::Entries, PING_TIMEOUT).await {
             Ok(StoreReply::Entries(entries)) => entries,
@@ -99,9 +105,9 @@
         }
     }
 
-    /// Makes a call that reads. What it proves counts from when it was sent, and by the wait that was
-    /// sent: the peer may be stopped at any moment between.
-    async fn call_to_read(
+    /// Makes a read. How current the answer is counts from when the request was sent, and by the
+    /// wait that was sent with it: the peer may be suspended at any moment in between.
+    async fn call_read(
         &self,
         request: &StoreRequest,
         wait_ms: u64,
@@ -134,8 +140,8 @@
         fence: Option<&Fence>,
     ) -> Result<Offset, AppendError> {
         let (topic, records) = (topic.to_owned(), records.to_vec());
-        let gathers = self.is_gateway && fence.is_none();
-        let (request, timeout) = if gathers {
+        let is_batched = self.is_gateway && fence.is_none();
+        let (request, timeout) = if is_batched {
             (StoreRequest::Gather { topic, records }, GATEWAY_TIMEOUT)
         } else {
             (StoreRequest::Append { topic, records, fence: fence.cloned() }, CALL_TIMEOUT)
@@ -158,7 +164,7 @@
     async fn read(&self, topic: &str, from: Offset, wait: Duration) -> Result<Batch, ReadError> {
         let wait_ms = wait.as_millis() as u64;
         let request = StoreRequest::Read { topic: topic.to_owned(), from, wait_ms };
-        self.call_to_read(&request, wait_ms, wait + READ_SLACK).await
+        self.call_read(&request, wait_ms, wait + READ_SLACK).await
     }
 
     async fn newest(&self, topic: &str) -> Result<Snapshot, ReadError> {
--- a/crates/rampbay-peer/src/protocol.rs
+++ b/crates/rampbay-peer/src/protocol.rs
@@ -1,11 +1,11 @@
-//! What peers ask of each other: the store's operations, as messages.
+//! The messages between peers: the operations of the store, and pings.
 
 use rampbay_jobs::job::NodeName;
 use rampbay_jobs::record::{KeyedRecord, Member};
 use rampbay_jobs::store::{AppendError, Batch, Candidacy, Fence, Offset, ReadError, Snapshot};
 use serde::{Deserialize, Serialize};
 
-/// An operation on the store that a peer is asked for.
+/// A request to a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StoreRequest {
     /// See [`Store::append`](rampbay_jobs::store::Store::append).
@@ -17,7 +17,8 @@
         /// Fence, if the writer has one.
         fence: Option<Fence>,
     },
-    /// See [`Store::append`](rampbay_jobs::store::Store::append): gathered with those of others, over all ways of the peer.
+    /// See [`Store::append`](rampbay_jobs::store::Store::append): batched with the appends of other
+    /// processes, over any path of the peer.
     Gather {
         /// Topic.
         topic: String,
@@ -41,7 +42,7 @@
         from: Offset,
         /// Longest wait, in milliseconds.
         wait_ms: u64,
-        /// The agent that asks, for the records that it needs; none for all.
+        /// The agent that reads, to get only the records that concern it; `None` for all records.
         agent: Option<NodeName>,
     },
     /// See [`Store::newest`](rampbay_jobs::store::Store::newest).
@@ -53,7 +54,7 @@
     Stand {
         /// Candidate.
         member: String,
-        /// Generation heard last.
+        /// Generation of the group that the candidate last got.
         generation: u64,
     },
     /// See [`Store::holder`](rampbay_jobs::store::Store::holder).
@@ -67,37 +68,38 @@
     },
     /// See [`Snapshots::take`](crate::snapshots::Snapshots::take).
     Snapshot {
-        /// The agent that asks, for the records that it needs; none for all.
+        /// The agent that reads, to get only the records that concern it; `None` for all records.
         agent: Option<NodeName>,
     },
     /// See [`Snapshots::entries`](crate::snapshots::Snapshots::entries).
     Entries,
-    /// See [`Store::report`](rampbay_jobs::store::Store::report): gathered with those of others.
+    /// See [`Store::report`](rampbay_jobs::store::Store::report): batched with the reports of other
+    /// processes.
     Report {
         /// The reports.
         reports: Vec<KeyedRecord>,
     },
 }
 
-/// What came of an operation.
+/// The reply to a request.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum StoreReply {
-    /// Of an append.
+    /// To an append.
     Append(Result<Offset, AppendError>),
-    /// Of a read.
+    /// To a read.
     Read(Result<Batch, ReadError>),
-    /// Of a read of the newest records.
+    /// To a read of the newest record of each key.
     Newest(Result<Snapshot, ReadError>),
-    /// Of a candidacy.
+    /// To a candidacy.
     Stand(Result<Candidacy, ReadError>),
-    /// Of a question who leads.
+    /// To a query for the leader.
     Holder(Result<Option<NodeName>, ReadError>),
-    /// Of a ping.
+    /// To a ping.
     Pong,
-    /// Of a resignation.
+    /// To a resignation.
     Resigned,
-    /// Of reports.
+    /// To reports.
     Report(Result<(), AppendError>),
-    /// Of a question for the entries.
+    /// To a query for the entries.
     Entries(Vec<Member>),
 }
--- a/crates/rampbay-peer/src/server.rs
+++ b/crates/rampbay-peer/src/server.rs
@@ -1,4 +1,4 @@
-//! A server on one thread, which ends without cutting a call.
+//! A single-threaded HTTP server that completes open calls before it ends.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -16,15 +16,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Longest time between the start of a connection, or the end of a call, and the next header.
+/// Longest time from the start of a connection, or the end of a call, until the next header is
+/// complete.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest time for the body of a call: three times as long as callers wait for an answer. A caller whose
-/// connection goes silent half way through is dropped then.
+/// Longest time for the body of a call: three times as long as callers wait for an answer. It ends
+/// the connection of a caller that stops sending in the middle of a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a connection couldn't be taken, so that a lack of descriptors isn't pressed.
+/// Pause after a failed accept, so that the server doesn't spin while the process has no file
+/// descriptors left.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// A call that was read whole.
+/// A request that was read completely.
 #[derive(Clone, Debug)]
 pub struct HttpRequest {
     /// Method.
@@ -33,7 +35,7 @@
     pub path: String,
     /// Query, without the question mark.
     pub query: String,
-    /// Host that the caller named, without port.
+    /// Value of the header `Host`, without port.
     pub host: String,
     /// Value of the header `Authorization`.
     pub authorization: Option<String>,
@@ -43,7 +45,7 @@
     pub body: Bytes,
 }
 
-/// An answer to a call.
+/// The response to a request.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
     /// Status.
@@ -52,18 +54,18 @@
     pub content_type: &'static str,
     /// Body.
     pub body: Bytes,
-    /// When to come back, in whole seconds.
+    /// Value of the header `Retry-After`, in seconds.
     pub retry_after_s: Option<u32>,
 }
 
 impl HttpResponse {
-    /// Makes an answer without body.
+    /// Creates a response without a body.
     #[must_use]
     pub const fn status(status: StatusCode) -> Self {
         Self { status, content_type: "", body: Bytes::new(), retry_after_s: None }
     }
 
-    /// Makes an answer with a body.
+    /// Creates a response with a body.
     #[must_use]
     pub fn with_body(
         status: StatusCode,
@@ -73,7 +75,7 @@
         Self { status, content_type, body: body.into(), retry_after_s: None }
     }
 
-    fn into_response(self, closes: bool) -> Response<Full<Bytes>> {
+    fn into_response(self, closes_connection: bool) -> Response<Full<Bytes>> {
         let mut response = Response::builder().status(self.status);
         if !self.content_type.is_empty() {
             response = response.header(header::CONTENT_TYPE, self.content_type);
@@ -81,7 +83,7 @@
         if let Some(seconds) = self.retry_after_s {
             response = response.header(header::RETRY_AFTER, seconds);
         }
-        if closes {
+        if closes_connection {
             response = response.header(header::CONNECTION, "close");
         }
         let fallback = || Response::new(Full::new(Bytes::new()));
@@ -89,22 +91,22 @@
     }
 }
 
-/// What answers calls.
+/// Function that handles requests.
 pub type Handler = Rc<dyn Fn(HttpRequest) -> Pin<Box<dyn Future<Output = HttpResponse>>>>;
 
-/// How a server ends.
+/// Whether a server accepts connections, and keeps open ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ServerState {
-    /// It serves.
+    /// Connections are accepted and kept open.
     #[default]
     Open,
-    /// Connections are closed after their next answer; new ones are still taken.
+    /// Connections are closed after their next response; new ones are still accepted.
     Draining,
-    /// No new connections; open ones end once they are idle.
+    /// New connections aren't accepted; open ones are closed once they are idle.
     Closed,
 }
 
-/// Counts what is under way; the count falls when the guard is dropped.
+/// Counts a connection as open until the guard is dropped.
 struct InFlight(Rc<Cell<usize>>);
 
 impl InFlight {
@@ -120,11 +122,11 @@
     }
 }
 
-/// Serves `address` until closed and all open calls are answered.
+/// Serves `address` until the state is [`ServerState::Closed`] and all open calls are answered.
 ///
 /// # Errors
 ///
-/// Returns an error if the address can't be listened at.
+/// Returns an error if the address can't be bound.
 pub async fn serve(
     address: SocketAddr,
     body_limit: usize,
@@ -193,8 +195,8 @@
             Ok(received) => (self.handler)(received).await,
             Err(status) => HttpResponse::status(status),
         };
-        let closes = *self.closing.borrow() != ServerState::Open;
-        Ok(answer.into_response(closes))
+        let closes_connection = *self.closing.borrow() != ServerState::Open;
+        Ok(answer.into_response(closes_connection))
     }
 }
 
--- a/crates/rampbay-peer/src/service.rs
+++ b/crates/rampbay-peer/src/service.rs
@@ -1,4 +1,4 @@
-//! What a process does for its peers.
+//! Handles the requests of peers.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,34 +13,34 @@
 use crate::server::{Handler, HttpResponse};
 use crate::snapshots::Snapshots;
 
-/// What a process serves its peers with.
+/// The stores and views from which a process serves its peers.
 #[derive(Clone)]
 pub struct PeerService {
-    /// Its direct way to the store alone, so that a call takes one hop at most.
+    /// The direct path to the store only, so that a call takes one hop at most.
     pub direct: Rc<dyn Store>,
-    /// All ways that it has itself but for gateways, for the appends that it gathers: two processes that take each other
-    /// for the leader must not hand them to and fro.
-    pub gathers: Rc<dyn Store>,
-    /// The topics that it follows whole, by their names.
-    pub followed: Followed,
-    /// Reports that it gathers, if it does.
+    /// All paths of this process except gateways, for the appends that it batches: two processes
+    /// that each take the other for the leader must not pass appends back and forth.
+    pub batching: Rc<dyn Store>,
+    /// The topics that this process follows completely, by name.
+    pub followed: FollowedTopics,
+    /// Reports that this process collects, if it does.
     pub reports: Option<Rc<Reports>>,
-    /// The state as a whole, if it follows it.
+    /// Snapshots of the state, if this process follows all of it.
     pub snapshots: Option<Rc<Snapshots>>,
 }
 
-/// Topics that a process follows whole, and passes on.
-pub type Followed = BTreeMap<String, Rc<Freshness>>;
+/// Topics that a process follows completely and passes on, by name.
+pub type FollowedTopics = BTreeMap<String, Rc<Freshness>>;
 
-/// Makes the handler that serves peers.
+/// Creates the HTTP handler for the requests of peers.
 #[must_use]
-pub fn handler(served: PeerService) -> Handler {
+pub fn handler(service: PeerService) -> Handler {
     Rc::new(move |received| {
-        let served = served.clone();
+        let service = service.clone();
         Box::pin(async move {
             let request: Result<StoreRequest, _> = postcard::from_bytes(&received.body);
             let Ok(request) = request else { return HttpResponse::status(StatusCode::BAD_REQUEST) };
-            let reply = handle_request(&served, request).await;
+            let reply = handle_request(&service, request).await;
             match postcard::to_allocvec(&reply) {
                 Ok(body) => {
                     HttpResponse::with_body(StatusCode::OK, "application/octet-stream", body)
@@ -51,13 +51,13 @@
     })
 }
 
-/// Does what a peer asks for.
-pub async fn handle_request(served: &PeerService, request: StoreRequest) -> StoreReply {
-    let store = served.direct.as_ref();
+/// Handles a request of a peer.
+pub async fn handle_request(service: &PeerService, request: StoreRequest) -> StoreReply {
+    let store = service.direct.as_ref();
     match request {
         StoreRequest::Tail { topic, from, wait_ms, agent } => {
             let wait = Duration::from_millis(wait_ms);
-            StoreReply::Read(match served.followed.get(&topic) {
+            StoreReply::Read(match service.followed.get(&topic) {
                 Some(followed) => followed.pass_on(from, wait, agent.as_deref()).await,
                 None => Err(ReadError::Unavailable),
             })
@@ -66,7 +66,7 @@
             StoreReply::Append(store.append(&topic, &records, fence.as_ref()).await)
         }
         StoreRequest::Gather { topic, records } => {
-            StoreReply::Append(served.gathers.append(&topic, &records, None).await)
+            StoreReply::Append(service.batching.append(&topic, &records, None).await)
         }
         StoreRequest::Read { topic, from, wait_ms } => {
             StoreReply::Read(store.read(&topic, from, Duration::from_millis(wait_ms)).await)
@@ -77,17 +77,17 @@
         }
         StoreRequest::Holder => StoreReply::Holder(store.holder().await),
         StoreRequest::Ping => StoreReply::Pong,
-        StoreRequest::Snapshot { agent } => StoreReply::Newest(match &served.snapshots {
+        StoreRequest::Snapshot { agent } => StoreReply::Newest(match &service.snapshots {
             Some(snapshots) => snapshots.take(agent.as_deref()).await,
             None => Err(ReadError::Unavailable),
         }),
         StoreRequest::Entries => {
-            let entries = served.snapshots.as_ref().map(|snapshots| snapshots.entries());
+            let entries = service.snapshots.as_ref().map(|snapshots| snapshots.entries());
             StoreReply::Entries(entries.unwrap_or_default())
         }
         StoreRequest::Report { reports } => {
-            let gathered = served.reports.as_ref().map(|gathered| gathered.take_in(reports));
-            StoreReply::Report(gathered.ok_or(AppendError::Refused))
+            let added = service.reports.as_ref().map(|added| added.add(reports));
+            StoreReply::Report(added.ok_or(AppendError::Refused))
         }
         StoreRequest::Resign { member } => {
             store.resign(&member).await;
--- a/crates/rampbay-peer/src/stack.rs
+++ b/crates/rampbay-peer/src/stack.rs
@@ -17,7 +17,7 @@
 use crate::metered::{Counted, MeteredStore};
 use crate::relay::{PeerList, RelayStore};
 use crate::routes::Routes;
-use crate::service::{Followed, PeerService};
+use crate::service::{FollowedTopics, PeerService};
 use crate::snapshots::Snapshots;
 use crate::tail::{Starting, TailStore};
 use crate::transport::Transport;
@@ -107,7 +107,7 @@
         let direct_alone: Rc<dyn Store> = Rc::clone(&direct) as Rc<dyn Store>;
         let peer_service = PeerService {
             direct: for_peers(Rc::new(alone)),
-            gathers: relay,
+            batching: relay,
             followed: followed(&settings, &live, &subscription),
             reports: subscription.is_entry().then(Rc::default),
             snapshots: subscription.is_entry().then(|| Snapshots::new(live.clone(), direct_alone)),
@@ -136,7 +136,7 @@
 const OBSERVING: Duration = Duration::from_secs(5);
 
 /// Tells the metrics how old the process's views are, how far it is from the store, and how much the state holds.
-async fn observe_for_ever(routes: Routes, followed: Followed) {
+async fn observe_for_ever(routes: Routes, followed: FollowedTopics) {
     let live = routes.live;
     loop {
         tokio::time::sleep(OBSERVING).await;
@@ -199,12 +199,12 @@
 
 /// Returns the views that a process passes on: those that are whole. What an agent reads has gaps, and whoever
 /// took it for the state would miss records.
-fn followed(settings: &Settings, live: &LiveTable, subscription: &Subscription) -> Followed {
+fn followed(settings: &Settings, live: &LiveTable, subscription: &Subscription) -> FollowedTopics {
     let Subscription::Everything { orders_topic, orders } = subscription else {
-        return Followed::new();
+        return FollowedTopics::new();
     };
     let state = (STATE_TOPIC.to_owned(), Rc::clone(&live.freshness));
-    let followed = Followed::from([state, (orders_topic.clone(), Rc::clone(orders))]);
+    let followed = FollowedTopics::from([state, (orders_topic.clone(), Rc::clone(orders))]);
     if settings.member(true).is_ample() {
         followed.values().for_each(|freshness| freshness.keep_recent());
     }
--- a/crates/rampbay-peer/tests/gathering.rs
+++ b/crates/rampbay-peer/tests/gathering.rs
@@ -15,7 +15,7 @@
 use rampbay_peer::group::GroupStore;
 use rampbay_peer::protocol::StoreRequest;
 use rampbay_peer::server::{ServerState, serve};
-use rampbay_peer::service::{Followed, PeerService, handler};
+use rampbay_peer::service::{FollowedTopics, PeerService, handler};
 use rstest::rstest;
 use tokio::sync::{Notify, watch};
 
@@ -89,11 +89,11 @@
         drop(free);
         let store = Rc::new(NotingStore::default());
         let shared: Rc<dyn Store> = store.clone();
-        let gathers: Rc<dyn Store> = Rc::new(GroupStore::new(Rc::clone(&shared)));
+        let batching: Rc<dyn Store> = Rc::new(GroupStore::new(Rc::clone(&shared)));
         let served = PeerService {
             direct: shared,
-            gathers,
-            followed: Followed::new(),
+            batching,
+            followed: FollowedTopics::new(),
             reports: None,
             snapshots: None,
         };
--- a/crates/rampbay-peer/tests/routes.rs
+++ b/crates/rampbay-peer/tests/routes.rs
@@ -13,7 +13,7 @@
 use rampbay_peer::peer::PeerStore;
 use rampbay_peer::routes::Routes;
 use rampbay_peer::server::{ServerState, serve};
-use rampbay_peer::service::{Followed, PeerService, handler};
+use rampbay_peer::service::{FollowedTopics, PeerService, handler};
 use rampbay_peer::tail::TailSources;
 use rampbay_peer::transport::Transport;
 use rstest::rstest;
@@ -178,8 +178,8 @@
     let direct = DirectStore::new(Rc::new(nowhere), Duration::from_secs(1));
     PeerService {
         direct: direct.clone(),
-        gathers: direct,
-        followed: Followed::new(),
+        batching: direct,
+        followed: FollowedTopics::new(),
         reports: None,
         snapshots: None,
     }
