--- a/crates/rampbay-peer/src/group.rs
+++ b/crates/rampbay-peer/src/group.rs
@@ -128,7 +128,7 @@
 
 #[async_trait(?Send)]
 impl Layer for GroupStore {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         self.store.as_ref()
     }
 
--- a/crates/rampbay-peer/src/reports.rs
+++ b/crates/rampbay-peer/src/reports.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use rampbay_jobs::record::KeyedRecord;
-use rampbay_jobs::store::{Store, appends};
+use rampbay_jobs::store::{Store, split_into_appends};
 use tokio::sync::Notify;
 
 /// How long an entry collects reports. At most three entries lie between an agent and the store,
@@ -41,7 +41,7 @@
             self.added.notified().await;
             tokio::time::sleep(BATCH_INTERVAL).await;
             let reports: Vec<KeyedRecord> = self.pending.take().into_values().collect();
-            for group in appends(&reports) {
+            for group in split_into_appends(&reports) {
                 if let Err(error) = store.report(group).await {
                     log::info!("event=J181 reports lost reports={} error={error}", group.len());
                 }
--- a/crates/rampbay-peer/src/service.rs
+++ b/crates/rampbay-peer/src/service.rs
@@ -73,7 +73,7 @@
         }
         StoreRequest::Newest { topic } => StoreReply::Newest(store.newest(&topic).await),
         StoreRequest::Stand { member, generation } => {
-            StoreReply::Stand(store.stand(&member, generation).await)
+            StoreReply::Stand(store.stand_for_election(&member, generation).await)
         }
         StoreRequest::Holder => StoreReply::Holder(store.holder().await),
         StoreRequest::Ping => StoreReply::Pong,
--- a/crates/rampbay-peer/src/stack.rs
+++ b/crates/rampbay-peer/src/stack.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::echo::EchoStore;
 use rampbay_jobs::freshness::Freshness;
 use rampbay_jobs::metrics::metrics;
 use rampbay_jobs::process::LiveTable;
+use rampbay_jobs::read_your_writes::ReadYourWritesStore;
 use rampbay_jobs::record::{Member, STATE_TOPIC};
 use rampbay_jobs::settings::Settings;
 use rampbay_jobs::store::Store;
@@ -85,7 +85,7 @@
         let direct = DirectStore::new(Rc::new(counted), subscription.probe_interval());
         let routes = Routes { settings: Rc::clone(&settings), transport, live: live.clone() };
         let grouped = |store: Rc<dyn Store>| -> Rc<dyn Store> {
-            Rc::new(GroupStore::new(Rc::new(EchoStore::new(store, live.clone()))))
+            Rc::new(GroupStore::new(Rc::new(ReadYourWritesStore::new(store, live.clone()))))
         };
         // An agent takes in only its own appends. What it passes on for a peer may hold accounts of jobs that it doesn't
         // know, which come to it together with their jobs.
@@ -184,7 +184,7 @@
 
 /// Returns how a process reads the whole state when it starts.
 fn starting(settings: &Settings, routes: &Routes, subscription: &Subscription) -> Starting {
-    let is_ample = subscription.is_entry() && settings.member(true).is_ample();
+    let is_ample = subscription.is_entry() && settings.member(true).is_well_provisioned();
     let (least, spread) = match subscription {
         Subscription::OwnWorker => AGENT_START,
         Subscription::Everything { .. } if is_ample => AMPLE_START,
@@ -205,7 +205,7 @@
     };
     let state = (STATE_TOPIC.to_owned(), Rc::clone(&live.freshness));
     let followed = FollowedTopics::from([state, (orders_topic.clone(), Rc::clone(orders))]);
-    if settings.member(true).is_ample() {
+    if settings.member(true).is_well_provisioned() {
         followed.values().for_each(|freshness| freshness.keep_recent());
     }
     followed
--- a/crates/rampbay-peer/tests/routes.rs
+++ b/crates/rampbay-peer/tests/routes.rs
@@ -147,12 +147,13 @@
     let answering = Member { address: address.to_string(), ..member(node) };
     routes.live.table.borrow_mut().apply(&Record::Member(answering).encode());
     let transport = Rc::clone(&routes.transport);
-    let successors = routes.preferred_leaders().expect("a process with little room has some");
+    let preferred_leaders =
+        routes.preferred_leaders().expect("a process with little room has some");
     let answers = async {
         while !PeerStore::new(Rc::clone(&transport), address.to_string()).responds().await {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        successors.any_answers().await
+        preferred_leaders.any_reachable().await
     };
     let never = watch::channel(ServerState::Open);
     let local = tokio::task::LocalSet::new();
--- a/crates/rampbay-scale/src/process.rs
+++ b/crates/rampbay-scale/src/process.rs
@@ -155,8 +155,8 @@
         table: Rc::clone(&live.table),
         freshness: Rc::clone(&live.freshness),
         connect: Box::new(move |_, _| -> Rc<dyn Worker> { client.clone() }),
-        succession: |_, _| None,
-        began: |_| None,
+        compare_incarnations: |_, _| None,
+        incarnation_start: |_| None,
         wall_clock,
         settings: settings.agent(),
     });
