--- a/crates/rampbay-peer/src/agent.rs
+++ b/crates/rampbay-peer/src/agent.rs
@@ -1,4 +1,4 @@
-//! What every agent's process does beside its worker: it follows what concerns the worker, and serves it.
+//! An agent's process: follows the records that concern its worker, and serves the worker.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,21 +8,21 @@
 use rampbay_jobs::process::LiveTable;
 use rampbay_jobs::store::Store;
 
-/// How the table is followed: orders wait for it.
+/// Pace at which the table is followed; orders to the worker wait for it.
 const TABLE_PACE: Pace = Pace { wait: Duration::from_millis(1000), gap: Duration::from_millis(25) };
 
-/// An agent's process.
+/// The process of an agent.
 pub struct Agent {
-    /// The store, over all ways.
+    /// The store, over all paths.
     pub store: Rc<dyn Store>,
-    /// The table that it keeps.
+    /// The table of this process.
     pub live: LiveTable,
-    /// The lives of its worker.
+    /// The incarnations of the agent's worker.
     pub host: Rc<AgentHost>,
 }
 
 impl Agent {
-    /// Follows the state and serves the worker, for ever.
+    /// Follows the state and serves the worker, forever.
     pub async fn run(self) {
         tokio::join!(self.live.follow(self.store, TABLE_PACE), self.host.run());
     }
--- a/crates/rampbay-peer/src/entry.rs
+++ b/crates/rampbay-peer/src/entry.rs
@@ -1,5 +1,5 @@
-//! What every entry does beside serving callers: it follows the state and the operators' orders, and stands
-//! for leader.
+//! An entry's process, apart from serving callers: follows the state and the operators' orders, and
+//! stands for election as leader.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,32 +16,34 @@
 
 use crate::routes::Routes;
 
-/// How the table is followed: decisions wait for it. Reads are priced, and a shorter gap starts nothing sooner.
+/// Pace at which the table is followed; decisions wait for it. Reads are billed, and with a shorter
+/// gap no run starts sooner.
 const TABLE_PACE: Pace = Pace { wait: Duration::from_millis(1000), gap: Duration::from_millis(30) };
-/// How the operators' orders are followed: their age decides whether calls may be answered.
+/// Pace at which the operators' orders are followed; calls may be answered only while these are
+/// recent.
 const OPERATORS_PACE: Pace =
     Pace { wait: Duration::from_millis(1000), gap: Duration::from_millis(20) };
-/// How the runs' progress is followed: it comes in groups, some seven a second.
+/// Pace at which the runs' progress is followed; it arrives in batches, about seven a second.
 const PROGRESS_PACE: Pace =
     Pace { wait: Duration::from_millis(1000), gap: Duration::from_millis(300) };
 
-/// An entry's part in the whole.
+/// The process of an entry.
 #[derive(Clone)]
 pub struct Entry {
-    /// Its settings.
+    /// Settings of the process.
     pub settings: Rc<Settings>,
-    /// The store, over all ways.
+    /// The store, over all paths.
     pub store: Rc<dyn Store>,
-    /// How it finds its peers.
+    /// How the process finds its peers.
     pub routes: Routes,
-    /// The table that it keeps.
+    /// The table of this process.
     pub live: LiveTable,
-    /// What it knows of the operators' orders.
+    /// The operators' orders, as far as this process knows them.
     pub routing: Rc<CurrentRouting>,
 }
 
 impl Entry {
-    /// Keeps the table and the operators' orders current, for ever.
+    /// Keeps the table and the operators' orders current, forever.
     pub async fn follow(self, operators_topic: &str, operators: impl Sink) {
         let table = self.live.follow(Rc::clone(&self.store), TABLE_PACE);
         let freshness = Rc::clone(&self.routing.freshness);
@@ -49,7 +51,8 @@
         tokio::join!(table, orders);
     }
 
-    /// Stands for leader, and leads while it is, for ever. `salt` differs between processes and starts.
+    /// Stands for election, and leads whenever elected, forever. `salt` differs between processes
+    /// and between starts.
     pub async fn lead(self, wall_clock: fn() -> EpochMillis, salt: u64) {
         let interval = Duration::from_millis(self.settings.leader_ttl_ms) / 3;
         let parts = LeaderParts {
--- a/crates/rampbay-peer/src/lib.rs
+++ b/crates/rampbay-peer/src/lib.rs
@@ -1,14 +1,13 @@
-//! HTTP between rampbay's processes.
+//! HTTP between rampbay's processes, and access to the store through peers.
 //!
-//! [`client`] and [`server`] are thin covers over hyper for one thread. The ways to the store are
-//! stores themselves, one around the other ([`stack`]): [`direct`] knows whether the process's own way is
-//! open, [`relay`] goes through peers where it isn't, [`gateway`] hands appends to the leader, [`group`] lets them
-//! ride together, [`tail`] reads
-//! through peers, [`metered`] counts. [`reports`] gathers what agents report, [`snapshots`]
-//! gives the whole state to those that start. A [`peer`] is a store as well, over a [`transport`]; [`service`] is
-//! what a process does for its peers, and [`routes`] whom it goes through, by the [`tree`] of
-//! all entries. [`entry`] and [`agent`] put
-//! the two kinds of processes together.
+//! [`client`] and [`server`] are thin wrappers over hyper for one thread. The layers over the store
+//! are stores themselves, each wrapping the next ([`stack`]): [`direct`] tracks whether the
+//! process's direct path is available, [`relay`] goes through peers while it isn't, [`gateway`]
+//! hands appends to the leader, [`group`] batches them, [`tail`] reads through peers, [`metered`]
+//! counts calls. [`reports`] collects the agents' progress reports, and [`snapshots`] sends the
+//! whole state to processes that start. A [`peer`] is a store as well, over a [`transport`];
+//! [`service`] handles the requests of peers, and [`routes`] selects the peers to use, by the
+//! [`tree`] of all entries. [`entry`] and [`agent`] assemble the two kinds of processes.
 
 pub mod agent;
 pub mod client;
--- a/crates/rampbay-peer/src/stack.rs
+++ b/crates/rampbay-peer/src/stack.rs
@@ -1,4 +1,4 @@
-//! All ways of a process to the store, one around the other.
+//! The layers through which a process reaches the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,21 +19,21 @@
 use crate::routes::Routes;
 use crate::service::{FollowedTopics, PeerService};
 use crate::snapshots::Snapshots;
-use crate::tail::{Starting, TailStore};
+use crate::tail::{Bootstrap, TailStore};
 use crate::transport::Transport;
 use crate::tree::{Tree, rank};
 
-/// What a process follows, and for whom.
+/// Which records a process follows, and whether it passes them on.
 #[derive(Clone)]
 pub enum Subscription {
-    /// All of the state, and the operators' orders: an entry, which passes them on.
+    /// An entry: all of the state and the operators' orders, which it passes on.
     Everything {
         /// Topic of the operators' orders.
         orders_topic: String,
-        /// Age and latest records of what it knows of them.
+        /// Age and latest records of the entry's view of these orders.
         orders: Rc<Freshness>,
     },
-    /// What concerns its worker: an agent.
+    /// An agent: the records that concern its worker.
     OwnWorker,
 }
 
@@ -42,42 +42,42 @@
         matches!(self, Self::Everything { .. })
     }
 
-    /// Returns the time between two probes of a broken way to the store. Callers wait for entries, and
-    /// entries are few; agents are many, and what they send goes through the leader.
+    /// Returns the time between two probes of an unavailable direct path. Callers wait for entries,
+    /// and entries are few; agents are many, and their appends go through the leader.
     const fn probe_interval(&self) -> Duration {
         if self.is_entry() { Duration::from_millis(100) } else { Duration::from_millis(1000) }
     }
 }
 
-/// What the ways of a process are made of.
+/// The parts from which a [`StoreStack`] is built.
 pub struct StoreStackParts {
-    /// Its settings.
+    /// Settings of the process.
     pub settings: Rc<Settings>,
-    /// Carries its calls to peers.
+    /// Sends calls to peers.
     pub transport: Rc<dyn Transport>,
-    /// The table that it keeps.
+    /// The table of this process.
     pub live: LiveTable,
     /// The store itself.
     pub store: Rc<dyn Store>,
-    /// What it follows.
+    /// Which records the process follows.
     pub subscription: Subscription,
 }
 
-/// The ways of a process to the store.
+/// The layers through which a process reaches the store.
 pub struct StoreStack {
-    /// The store, over whichever way is open.
+    /// The store, over all paths.
     pub store: Rc<dyn Store>,
-    /// What the process serves its peers with.
+    /// Handles the requests of peers.
     pub peer_service: PeerService,
-    /// How it finds its peers.
+    /// How the process finds its peers.
     pub routes: Routes,
     direct: Rc<DirectStore>,
-    announced: Rc<dyn Store>,
+    announcement_store: Rc<dyn Store>,
     member: Member,
 }
 
 impl StoreStack {
-    /// Opens all ways to the store.
+    /// Builds all layers over the store.
     #[must_use]
     pub fn open(parts: StoreStackParts) -> Self {
         let StoreStackParts { settings, transport, live, store, subscription } = parts;
@@ -87,59 +87,62 @@
         let grouped = |store: Rc<dyn Store>| -> Rc<dyn Store> {
             Rc::new(GroupStore::new(Rc::new(ReadYourWritesStore::new(store, live.clone()))))
         };
-        // An agent takes in only its own appends. What it passes on for a peer may hold accounts of jobs that it doesn't
-        // know, which come to it together with their jobs.
+        // An agent applies only its own appends to its table. Appends that it relays for a peer may
+        // hold plans of jobs that the agent doesn't know; it gets such plans together with their
+        // jobs.
         let for_peers = |store: Rc<dyn Store>| -> Rc<dyn Store> {
             if subscription.is_entry() { grouped(store) } else { Rc::new(GroupStore::new(store)) }
         };
-        // Peers are served out of the direct way alone, so that a call takes one hop at most.
+        // Peers are served over the direct path only, so that a call takes one hop at most.
         let no_peers: PeerList = Box::new(|| Rc::from([]));
-        let alone = RelayStore::new(Rc::clone(&direct), no_peers)
-            .with_writer_count(routes.clone().writers());
+        let without_peers = RelayStore::new(Rc::clone(&direct), no_peers)
+            .with_writer_count(routes.clone().writer_count());
         let relay = RelayStore::new(Rc::clone(&direct), routes.clone().relays());
-        let relay = relay.with_writer_count(routes.clone().writers());
+        let relay = relay.with_writer_count(routes.clone().writer_count());
         let relay = for_peers(Rc::new(MeteredStore::new(Rc::new(relay), Counted::Any)));
         let gateways = match &subscription {
             Subscription::Everything { .. } => routes.clone().gateways_of_entry(),
             Subscription::OwnWorker => routes.clone().gateways_of_agent(),
         };
         let own = grouped(Rc::new(GatewayStore::new(Rc::clone(&relay), gateways)));
-        let direct_alone: Rc<dyn Store> = Rc::clone(&direct) as Rc<dyn Store>;
+        let direct_store: Rc<dyn Store> = Rc::clone(&direct) as Rc<dyn Store>;
         let peer_service = PeerService {
-            direct: for_peers(Rc::new(alone)),
+            direct: for_peers(Rc::new(without_peers)),
             batching: relay,
-            followed: followed(&settings, &live, &subscription),
+            followed: followed_topics(&settings, &live, &subscription),
             reports: subscription.is_entry().then(Rc::default),
-            snapshots: subscription.is_entry().then(|| Snapshots::new(live.clone(), direct_alone)),
+            snapshots: subscription.is_entry().then(|| Snapshots::new(live.clone(), direct_store)),
         };
-        let announced = Rc::clone(&own);
+        let announcement_store = Rc::clone(&own);
         let store = read_through_peers(own, &settings, &routes, &subscription);
         let member = settings.member(subscription.is_entry());
-        Self { store, peer_service, routes, direct, announced, member }
+        Self { store, peer_service, routes, direct, announcement_store, member }
     }
 
-    /// Probes the direct way while it is broken, keeps the process's address in the state, passes on the
-    /// reports that it gathers, and tells its metrics where it stands, for ever.
+    /// Probes the direct path while it is unavailable, keeps the process's address in the state,
+    /// passes on the reports that it collects, and updates its metrics, forever.
     pub async fn maintain(self) {
-        let observe = observe_for_ever(self.routes.clone(), self.peer_service.followed.clone());
-        let announce = self.routes.live.announce(self.announced, self.member);
+        let metrics_updates =
+            update_metrics(self.routes.clone(), self.peer_service.followed.clone());
+        let announce = self.routes.live.announce(self.announcement_store, self.member);
         let pass_on = async {
             if let Some(reports) = &self.peer_service.reports {
                 reports.pass_on(self.store.as_ref()).await;
             }
         };
-        tokio::join!(self.direct.run_probes(), announce, pass_on, observe);
+        tokio::join!(self.direct.run_probes(), announce, pass_on, metrics_updates);
     }
 }
 
-/// Time between two looks at where a process stands: metrics are read less often.
-const OBSERVING: Duration = Duration::from_secs(5);
+/// Time between two updates of the metrics, which are scraped less often.
+const METRICS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Tells the metrics how old the process's views are, how far it is from the store, and how much the state holds.
-async fn observe_for_ever(routes: Routes, followed: FollowedTopics) {
+/// Records in the metrics how old the process's views are, how many hops it is from the store, and
+/// how much the state holds.
+async fn update_metrics(routes: Routes, followed: FollowedTopics) {
     let live = routes.live;
     loop {
-        tokio::time::sleep(OBSERVING).await;
+        tokio::time::sleep(METRICS_INTERVAL).await;
         let table = live.table.borrow();
         metrics().tree_depth.set(Tree::of(&table).depth_of(&routes.settings.node) as i64);
         metrics().set_state("workers", table.workers.len());
@@ -153,7 +156,7 @@
     }
 }
 
-/// Sends reads of what is followed through peers.
+/// Adds layers that read the followed topics through peers.
 fn read_through_peers(
     store: Rc<dyn Store>,
     settings: &Settings,
@@ -164,42 +167,52 @@
         Subscription::Everything { orders_topic, .. } => {
             let sources = || routes.clone().sources_of_entry();
             let state = TailStore::new(store, STATE_TOPIC, sources());
-            let state = state.starting(starting(settings, routes, subscription));
+            let state = state.with_bootstrap(bootstrap(settings, routes, subscription));
             Rc::new(TailStore::new(Rc::new(state), orders_topic, sources()))
         }
         Subscription::OwnWorker => {
             let tail = TailStore::new(store, STATE_TOPIC, routes.clone().sources_of_agent());
-            let tail = tail.starting(starting(settings, routes, subscription));
+            let tail = tail.with_bootstrap(bootstrap(settings, routes, subscription));
             Rc::new(tail.for_agent(settings.node.clone()))
         }
     }
 }
 
-/// How long processes that start go to peers before they read the whole state from the store, and over how much more
-/// that is spread: after a loss of power no peer knows it. Those that the settings of all name read it at once; other
-/// ample entries wait as long as that takes, small ones and agents until those have it. An agent's leases last 6 s.
-const AMPLE_START: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(150));
-const SMALL_START: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(300));
-const AGENT_START: (Duration, Duration) = (Duration::from_millis(1000), Duration::from_millis(500));
+/// How long processes that start try peers before they read the whole state from the store, and the
+/// range over which that time is spread further: after a loss of power no peer knows the state.
+/// Well-provisioned seeds read it at once; other well-provisioned entries wait as long as that
+/// takes; small entries and agents wait until the well-provisioned ones have it. An agent's leases
+/// last 6 s.
+const WELL_PROVISIONED_BOOTSTRAP_WAIT: (Duration, Duration) =
+    (Duration::from_millis(150), Duration::from_millis(150));
+const SMALL_BOOTSTRAP_WAIT: (Duration, Duration) =
+    (Duration::from_millis(500), Duration::from_millis(300));
+const AGENT_BOOTSTRAP_WAIT: (Duration, Duration) =
+    (Duration::from_millis(1000), Duration::from_millis(500));
 
 /// Returns how a process reads the whole state when it starts.
-fn starting(settings: &Settings, routes: &Routes, subscription: &Subscription) -> Starting {
-    let is_ample = subscription.is_entry() && settings.member(true).is_well_provisioned();
+fn bootstrap(settings: &Settings, routes: &Routes, subscription: &Subscription) -> Bootstrap {
+    let is_well_provisioned =
+        subscription.is_entry() && settings.member(true).is_well_provisioned();
     let (least, spread) = match subscription {
-        Subscription::OwnWorker => AGENT_START,
-        Subscription::Everything { .. } if is_ample => AMPLE_START,
-        Subscription::Everything { .. } => SMALL_START,
+        Subscription::OwnWorker => AGENT_BOOTSTRAP_WAIT,
+        Subscription::Everything { .. } if is_well_provisioned => WELL_PROVISIONED_BOOTSTRAP_WAIT,
+        Subscription::Everything { .. } => SMALL_BOOTSTRAP_WAIT,
     };
     let share = rank(&settings.node, "") % 1000;
-    let is_known = settings.seeds.iter().any(|seed| seed.ip() == settings.ip);
+    let is_seed = settings.seeds.iter().any(|seed| seed.ip() == settings.ip);
     let spread = spread * share as u32 / 1000;
-    let patience = if is_ample && is_known { Duration::ZERO } else { least + spread };
-    Starting { routes: routes.clone(), patience }
+    let max_wait = if is_well_provisioned && is_seed { Duration::ZERO } else { least + spread };
+    Bootstrap { routes: routes.clone(), max_wait }
 }
 
-/// Returns the views that a process passes on: those that are whole. What an agent reads has gaps, and whoever
-/// took it for the state would miss records.
-fn followed(settings: &Settings, live: &LiveTable, subscription: &Subscription) -> FollowedTopics {
+/// Returns the views that a process passes on: the complete ones. An agent's view has gaps, and a
+/// reader that took it for the whole state would miss records.
+fn followed_topics(
+    settings: &Settings,
+    live: &LiveTable,
+    subscription: &Subscription,
+) -> FollowedTopics {
     let Subscription::Everything { orders_topic, orders } = subscription else {
         return FollowedTopics::new();
     };
--- a/crates/rampbay-peer/src/tail.rs
+++ b/crates/rampbay-peer/src/tail.rs
@@ -1,14 +1,17 @@
-//! Reads of a topic through processes that follow it anyway, to spare the store's calls.
+//! Reads of a topic through peers that follow it, which saves calls to the store.
 //!
-//! Every process needs every record of the state soon, and every entry the operators' orders. A read of its own for
-//! each costs a call to the store, and at a slow store its time too. So the leader reads from the store, and the
-//! others through the [`tree`](crate::tree) below it, each with the age of the view. A view that is too old, or a
-//! peer that doesn't answer, sends the reader to the next peer, and where none answers to the store.
+//! Every process needs every record of the state soon, and every entry needs the operators' orders.
+//! If each process read them from the store, every read would cost a call, and at a slow store its
+//! time too. So the leader reads from the store, and the other processes through the
+//! [`tree`](crate::tree) below the leader; each answer holds the age of the peer's view. If that
+//! view is too old or the peer doesn't answer, the reader tries the next peer, and falls back to
+//! the store if none succeeds.
 //!
-//! Reports of the runs' progress go the other way through the same peers ([`Reports`](crate::reports::Reports)).
+//! Progress reports of runs go up through the same peers ([`Reports`](crate::reports::Reports)).
 //!
-//! An agent gets only what concerns its worker. Before it reads on from the store itself, it has to
-//! read the newest record of each key: what wasn't sent to it would be missing.
+//! An agent gets only the records that concern its worker. Before it continues from the store, it
+//! has to read the newest record of each key, since the records that weren't sent to it would be
+//! missing.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -24,75 +27,81 @@
 use crate::peer::PeerStore;
 use crate::routes::Routes;
 
-/// Oldest view that is taken from a peer; more than the time that its own reads take.
-const OLDEST_VIEW: Duration = Duration::from_millis(1500);
-/// Longest wait for a record at a peer: so late is a peer that says nothing noticed, and a little more.
-const LONGEST_WAIT: Duration = Duration::from_millis(400);
-/// Longest wait for a record of the process that all others read through. By so much each view below it is older;
-/// it costs three calls a second and topic, whatever the fleet's size.
-const ROOT_WAIT: Duration = Duration::from_millis(300);
-/// How long peers are left alone after none of them could pass records on, and the longest where that happens again
-/// and again: to try two that have no power costs 1.2 s in which the view grows older. The shortest is longer than
-/// a lost leader's place takes to pass on (1.4 s): whoever takes it reads from the store then.
-const PEERS_PAUSE: Duration = Duration::from_millis(2000);
-const LONGEST_PAUSE: Duration = Duration::from_millis(8000);
-/// The same after peers have said so at once.
-const REFUSED_PAUSE: Duration = Duration::from_millis(200);
-/// How long a process that has started reads past the tree through the peer that it has the state from: until all that
-/// started with it pass records on (1.5 s). Read from the store meanwhile, what they all wrote made most of its bytes.
-const STARTING_TIME: Duration = Duration::from_millis(1500);
-/// Pause before peers are asked again for the state as a whole.
-const STARTING_PAUSE: Duration = Duration::from_millis(60);
-/// Peers that are asked for one read, at most.
+/// Largest accepted age of a peer's view: more than the peer's own reads take.
+const MAX_VIEW_AGE: Duration = Duration::from_millis(1500);
+/// Longest wait for a record at a peer; a peer that doesn't answer is noticed shortly after that
+/// time.
+const MAX_PEER_WAIT: Duration = Duration::from_millis(400);
+/// Longest wait for a record of the process that all others read through. It adds to the age of
+/// every view below that process, and costs three calls per second and topic, whatever the size of
+/// the fleet.
+const MAX_ROOT_WAIT: Duration = Duration::from_millis(300);
+/// Shortest and longest pause before peers are tried again after none of them could pass records
+/// on; the pause doubles while that continues. Trying two peers that have no power takes 1.2 s, in
+/// which the view ages. The shortest pause is longer than a failover of the leader takes (1.4 s),
+/// after which the new leader reads from the store.
+const MIN_PEERS_PAUSE: Duration = Duration::from_millis(2000);
+const MAX_PEERS_PAUSE: Duration = Duration::from_millis(8000);
+/// Pause before peers are tried again if they failed at once.
+const FAST_FAILURE_PAUSE: Duration = Duration::from_millis(200);
+/// How long a process that has started may read through the peer that sent it the state while the
+/// tree fails: until all processes that started with it pass records on (1.5 s). When they read
+/// from the store in that time, the records that they all wrote made up most of the store's bytes.
+const SNAPSHOT_PEER_TIME: Duration = Duration::from_millis(1500);
+/// Pause before peers are asked again for the whole state.
+const BOOTSTRAP_RETRY_PAUSE: Duration = Duration::from_millis(60);
+/// Largest number of peers that are tried for one read.
 const PEERS_PER_READ: usize = 2;
 
 /// What a process reads through.
 #[derive(Clone)]
 pub struct Sources {
-    /// The peers that pass records on, the nearest first; none where it reads from the store.
+    /// The peers that pass records on, the nearest first; empty if the process reads from the
+    /// store.
     pub peers: Rc<[PeerStore]>,
-    /// Whether all others read through this process.
+    /// Whether all other processes read through this one.
     pub is_root: bool,
 }
 
-/// Tells what a process reads through now.
+/// Returns what a process currently reads through.
 pub type TailSources = Box<dyn Fn() -> Sources>;
 
-/// A store whose reads of one topic go through peers where they can.
+/// A store that reads one topic through peers where possible.
 pub struct TailStore {
     store: Rc<dyn Store>,
     topic: String,
     sources: TailSources,
-    /// The agent that reads, if it wants only what concerns it.
+    /// The agent that reads, to get only what concerns it; `None` for all records.
     agent: Option<NodeName>,
     preferred: Cell<usize>,
-    /// Up to when the last answer of a peer proved its view.
-    proven: Cell<Option<Instant>>,
+    /// The time as of which the last answer of a peer was current.
+    current_as_of: Cell<Option<Instant>>,
     paused_until: Cell<Option<Instant>>,
-    /// How long peers are left alone when none of them can pass records on the next time.
+    /// Length of the next pause after none of the peers can pass records on.
     pause: Cell<Duration>,
-    /// The peers as they were at the last read.
-    known: RefCell<Option<Rc<[PeerStore]>>>,
-    /// Whether records may have been left out since the newest of each key were read.
+    /// The peers at the last read.
+    last_peers: RefCell<Option<Rc<[PeerStore]>>>,
+    /// Whether records may have been omitted since the newest record of each key was read.
     is_partial: Cell<bool>,
-    /// Where the newest of each key are read first, if peers pass them on.
-    starting: Option<Starting>,
-    /// The peer that the state as a whole came from, and until when it is read through where the tree fails.
-    origin: RefCell<Option<(PeerStore, Instant)>>,
-    /// Where the last answer came from: the address of a peer, or none for the store.
+    /// How the newest record of each key is read from peers first, if it is.
+    bootstrap: Option<Bootstrap>,
+    /// The peer that sent the whole state, and the time until which it is read through if the tree
+    /// fails.
+    snapshot_peer: RefCell<Option<(PeerStore, Instant)>>,
+    /// Where the last answer came from: the address of a peer, or `None` for the store.
     source: RefCell<Option<String>>,
 }
 
-/// How a process that starts reads the state as a whole.
-pub struct Starting {
-    /// How it finds peers before it knows the state.
+/// How a process that starts reads the whole state.
+pub struct Bootstrap {
+    /// How the process finds peers before it knows the state.
     pub routes: Routes,
-    /// How long it goes to peers before it reads from the store.
-    pub patience: Duration,
+    /// How long the process tries peers before it reads from the store.
+    pub max_wait: Duration,
 }
 
 impl TailStore {
-    /// Makes a store over peers that follow a topic, and the ways to the store itself.
+    /// Creates a store that reads `topic` through peers and falls back to `store`.
     #[must_use]
     pub fn new(store: Rc<dyn Store>, topic: &str, sources: TailSources) -> Self {
         Self {
@@ -101,23 +110,23 @@
             sources,
             agent: None,
             preferred: Cell::new(0),
-            proven: Cell::new(None),
+            current_as_of: Cell::new(None),
             paused_until: Cell::new(None),
-            pause: Cell::new(PEERS_PAUSE),
-            known: RefCell::default(),
+            pause: Cell::new(MIN_PEERS_PAUSE),
+            last_peers: RefCell::default(),
             is_partial: Cell::new(false),
-            starting: None,
-            origin: RefCell::default(),
+            bootstrap: None,
+            snapshot_peer: RefCell::default(),
             source: RefCell::default(),
         }
     }
 
-    /// Tells when the topic is read through another source than before.
-    fn note_source(&self, source: Option<&str>, from: Offset) {
+    /// Logs when the topic is read from another source than before.
+    fn record_source(&self, source: Option<&str>, from: Offset) {
         let before = self.source.borrow().clone();
         if before.as_deref() != source {
             log::info!(
-                "event=J109 topic read through another source topic={} source={} before={} position={from} partial={}",
+                "event=J109 source of topic changed topic={} source={} before={} position={from} partial={}",
                 self.topic,
                 source.unwrap_or("store"),
                 before.as_deref().unwrap_or("store"),
@@ -127,155 +136,158 @@
         }
     }
 
-    /// Reads the newest record of each key through peers as well.
+    /// Makes the store read the newest record of each key through peers as well.
     #[must_use]
-    pub fn starting(mut self, starting: Starting) -> Self {
-        self.starting = Some(starting);
+    pub fn with_bootstrap(mut self, bootstrap: Bootstrap) -> Self {
+        self.bootstrap = Some(bootstrap);
         self
     }
 
-    /// Reads only what concerns an agent.
+    /// Makes the store read only what concerns an agent.
     #[must_use]
     pub fn for_agent(mut self, agent: NodeName) -> Self {
         self.agent = Some(agent);
         self
     }
 
-    /// Reads from the first peer whose view is current. An agent takes an older one where no better
-    /// is at hand; its age is told.
+    /// Reads from the first peer whose view is current. An agent accepts an older view if there is
+    /// no better one; the batch holds its age.
     async fn read_from_peers(
         &self,
         peers: &[PeerStore],
         from: Offset,
         wait: Duration,
     ) -> Option<Batch> {
-        let wait = wait.min(LONGEST_WAIT);
+        let wait = wait.min(MAX_PEER_WAIT);
         let started = Instant::now();
-        let mut older = None;
+        let mut stale = None;
         for (tried, peer) in self.preferred_first(peers).enumerate() {
-            if tried > 0 && self.agent.is_none() && self.has_grown_old() {
+            if tried > 0 && self.agent.is_none() && self.is_stale() {
                 break;
             }
             match peer.tail(&self.topic, from, wait, self.agent.clone()).await {
-                Ok(batch) if batch.age <= OLDEST_VIEW => {
-                    self.note_source(Some(peer.address()), from);
-                    self.pause.set(PEERS_PAUSE);
-                    self.proven.set(Instant::now().checked_sub(batch.age));
+                Ok(batch) if batch.age <= MAX_VIEW_AGE => {
+                    self.record_source(Some(peer.address()), from);
+                    self.pause.set(MIN_PEERS_PAUSE);
+                    self.current_as_of.set(Instant::now().checked_sub(batch.age));
                     return Some(batch);
                 }
-                Ok(batch) => older = Some(batch),
+                Ok(batch) => stale = Some(batch),
                 Err(_) => {}
             }
             self.preferred.set(self.preferred.get() + 1);
         }
-        if self.agent.is_some() && older.is_some() {
-            return older;
+        if self.agent.is_some() && stale.is_some() {
+            return stale;
         }
-        self.leave_peers_alone(started.elapsed());
+        self.pause_peers(started.elapsed());
         None
     }
 
-    /// Returns whether the view is so old by now that the store has to be asked.
-    fn has_grown_old(&self) -> bool {
-        self.proven.get().is_some_and(|proven| proven.elapsed() > OLDEST_VIEW)
+    /// Returns whether the view has become so old that the store has to be read.
+    fn is_stale(&self) -> bool {
+        self.current_as_of.get().is_some_and(|current_as_of| current_as_of.elapsed() > MAX_VIEW_AGE)
     }
 
-    /// Leaves peers alone after a try that took so long. Those that say at once that they can't pass records on, as
-    /// one does that has just started, are asked again soon.
-    fn leave_peers_alone(&self, took: Duration) {
-        if took < LONGEST_WAIT {
-            self.paused_until.set(Some(Instant::now() + REFUSED_PAUSE));
+    /// Pauses reads through peers after an attempt that took `took`. If peers failed at once, as
+    /// one that has just started does, they are tried again soon.
+    fn pause_peers(&self, took: Duration) {
+        if took < MAX_PEER_WAIT {
+            self.paused_until.set(Some(Instant::now() + FAST_FAILURE_PAUSE));
             return;
         }
         let pause = self.pause.get();
         self.paused_until.set(Some(Instant::now() + pause));
-        self.pause.set((pause * 2).min(LONGEST_PAUSE));
+        self.pause.set((pause * 2).min(MAX_PEERS_PAUSE));
     }
 
-    /// Tries peers at once where there are others now: processes have come, or another one leads.
-    fn note_peers(&self, peers: &Rc<[PeerStore]>) {
-        let mut known = self.known.borrow_mut();
-        if known.as_ref().is_some_and(|known| Rc::ptr_eq(known, peers)) {
+    /// Ends a pause if the list of peers has changed, because processes have joined or another one
+    /// leads.
+    fn update_peers(&self, peers: &Rc<[PeerStore]>) {
+        let mut last_peers = self.last_peers.borrow_mut();
+        if last_peers.as_ref().is_some_and(|last_peers| Rc::ptr_eq(last_peers, peers)) {
             return;
         }
-        *known = Some(Rc::clone(peers));
+        *last_peers = Some(Rc::clone(peers));
         self.preferred.set(0);
         self.paused_until.set(None);
-        self.pause.set(PEERS_PAUSE);
+        self.pause.set(MIN_PEERS_PAUSE);
     }
 
     fn are_paused(&self) -> bool {
         self.paused_until.get().is_some_and(|until| Instant::now() < until)
     }
 
-    /// Iterates over some peers, the one that served last first.
+    /// Iterates over some of the peers, the one that last succeeded first.
     fn preferred_first<'a>(
         &self,
         peers: &'a [PeerStore],
     ) -> impl Iterator<Item = &'a PeerStore> + use<'a> {
         let first = self.preferred.get();
         let count = PEERS_PER_READ.min(peers.len());
-        (first..first + count).map(|place| &peers[place % peers.len()])
+        (first..first + count).map(|index| &peers[index % peers.len()])
     }
 
     async fn read_followed(&self, from: Offset, wait: Duration) -> Result<Batch, ReadError> {
         let Sources { peers, is_root } = (self.sources)();
         if peers.is_empty() {
-            let wait = if is_root { wait.min(ROOT_WAIT) } else { wait };
+            let wait = if is_root { wait.min(MAX_ROOT_WAIT) } else { wait };
             return self.read_from_store(from, wait).await;
         }
-        self.note_peers(&peers);
+        self.update_peers(&peers);
         if self.are_paused() {
-            return self.read_past_tree(from, wait.min(LONGEST_WAIT)).await;
+            return self.read_outside_tree(from, wait.min(MAX_PEER_WAIT)).await;
         }
         if let Some(batch) = self.read_from_peers(&peers, from, wait).await {
             self.is_partial.set(self.agent.is_some());
             return Ok(batch);
         }
-        // The view has grown old meanwhile, and others read through this process: an answer at once proves it.
-        self.read_past_tree(from, Duration::ZERO).await
+        // The view has become old in the meantime, and other processes read through this one. A
+        // read without a wait makes it current again.
+        self.read_outside_tree(from, Duration::ZERO).await
     }
 
-    /// Reads through the peer that the state came from, for a while after a start, or from the store.
-    async fn read_past_tree(&self, from: Offset, wait: Duration) -> Result<Batch, ReadError> {
-        let origin = self.origin.take().filter(|(_, until)| Instant::now() < *until);
-        if let Some((peer, until)) = origin {
+    /// Reads through the peer that sent the state, for a while after a start, or from the store.
+    async fn read_outside_tree(&self, from: Offset, wait: Duration) -> Result<Batch, ReadError> {
+        let snapshot_peer = self.snapshot_peer.take().filter(|(_, until)| Instant::now() < *until);
+        if let Some((peer, until)) = snapshot_peer {
             let outcome = peer.tail(&self.topic, from, wait, self.agent.clone()).await;
-            if let Some(batch) = outcome.ok().filter(|batch| batch.age <= OLDEST_VIEW) {
-                self.note_source(Some(peer.address()), from);
-                self.proven.set(Instant::now().checked_sub(batch.age));
+            if let Some(batch) = outcome.ok().filter(|batch| batch.age <= MAX_VIEW_AGE) {
+                self.record_source(Some(peer.address()), from);
+                self.current_as_of.set(Instant::now().checked_sub(batch.age));
                 self.is_partial.set(self.agent.is_some());
-                *self.origin.borrow_mut() = Some((peer, until));
+                *self.snapshot_peer.borrow_mut() = Some((peer, until));
                 return Ok(batch);
             }
         }
         self.read_from_store(from, wait).await
     }
 
-    /// Reads the newest record of each key from peers; `None` where none of them knows the state in time.
+    /// Reads the newest record of each key from peers; `None` if none of them knows the state in
+    /// time.
     async fn newest_from_peers(&self) -> Option<Snapshot> {
-        let starting = self.starting.as_ref()?;
-        let deadline = Instant::now() + starting.patience;
+        let bootstrap = self.bootstrap.as_ref()?;
+        let deadline = Instant::now() + bootstrap.max_wait;
         loop {
-            if let Some(snapshot) = self.newest_from_some(&starting.routes).await {
+            if let Some(snapshot) = self.newest_from_any(&bootstrap.routes).await {
                 return Some(snapshot);
             }
             if Instant::now() >= deadline {
                 return None;
             }
-            tokio::time::sleep_until((Instant::now() + STARTING_PAUSE).min(deadline)).await;
+            tokio::time::sleep_until((Instant::now() + BOOTSTRAP_RETRY_PAUSE).min(deadline)).await;
         }
     }
 
-    async fn newest_from_some(&self, routes: &Routes) -> Option<Snapshot> {
+    async fn newest_from_any(&self, routes: &Routes) -> Option<Snapshot> {
         let mut peers = (self.sources)().peers;
         if peers.is_empty() {
-            peers = Rc::from(routes.first_peers().await);
+            peers = Rc::from(routes.bootstrap_peers().await);
         }
         for peer in self.preferred_first(&peers) {
             if let Ok(snapshot) = peer.snapshot(self.agent.clone()).await {
-                let until = Instant::now() + STARTING_TIME;
-                *self.origin.borrow_mut() = Some((peer.clone(), until));
+                let until = Instant::now() + SNAPSHOT_PEER_TIME;
+                *self.snapshot_peer.borrow_mut() = Some((peer.clone(), until));
                 return Some(snapshot);
             }
             self.preferred.set(self.preferred.get() + 1);
@@ -287,7 +299,7 @@
         if self.is_partial.get() {
             return Err(ReadError::Trimmed);
         }
-        self.note_source(None, from);
+        self.record_source(None, from);
         self.store.read(&self.topic, from, wait).await
     }
 }
--- a/crates/rampbay-peer/src/transport.rs
+++ b/crates/rampbay-peer/src/transport.rs
@@ -1,4 +1,4 @@
-//! Border to the network between processes: one call to a peer, encoded with postcard over HTTP.
+//! Interface to the network between processes: one call to a peer, encoded with postcard over HTTP.
 
 use std::time::Duration;
 
@@ -9,17 +9,18 @@
 use crate::client::{Call, CallError, HttpClient};
 use crate::protocol::{StoreReply, StoreRequest};
 
-/// Path of the only call.
+/// Path of the HTTP endpoint.
 const PATH: &str = "/peer/store";
 
-/// Carries calls to peers.
+/// Sends calls to peers.
 #[async_trait(?Send)]
 pub trait Transport {
     /// Makes a call to the peer at an address, `IP:PORT`.
     ///
     /// # Errors
     ///
-    /// Says whether the peer may have seen the call.
+    /// Returns an error if there is no reply; the variant says whether the peer may have seen the
+    /// call.
     async fn call(
         &self,
         address: &str,
--- a/crates/rampbay-peer/tests/routes.rs
+++ b/crates/rampbay-peer/tests/routes.rs
@@ -111,7 +111,7 @@
 #[case::entry("b-small-1", 6)]
 #[case::leader(LEADER, 1)]
 fn writers_beside_a_process(#[case] node: &str, #[case] expected: u32) {
-    assert_eq!(routes(node, &SITE).writers()(), expected);
+    assert_eq!(routes(node, &SITE).writer_count()(), expected);
 }
 
 /// Where no machine has room, agents read through all entries, and entries from the store.
