--- a/crates/rampbay-peer/src/direct.rs
+++ b/crates/rampbay-peer/src/direct.rs
@@ -37,7 +37,7 @@
     suspected: Cell<bool>,
     /// Time between two probes.
     probe_interval: Duration,
-    regained: Notify,
+    recovered: Notify,
     unavailable: Notify,
 }
 
@@ -54,7 +54,7 @@
             answered_at: Cell::new(Instant::now()),
             suspected: Cell::new(false),
             probe_interval,
-            regained: Notify::new(),
+            recovered: Notify::new(),
             unavailable: Notify::new(),
         })
     }
@@ -150,7 +150,7 @@
         self.answered_at.set(Instant::now());
         // Calls that were sent before the store stopped answering may never be answered.
         if self.suspected.replace(false) {
-            self.regained.notify_waiters();
+            self.recovered.notify_waiters();
         }
     }
 
@@ -249,6 +249,6 @@
     }
 
     async fn recovered(&self) {
-        self.regained.notified().await;
+        self.recovered.notified().await;
     }
 }
