--- a/crates/rampbay-peer/src/peer.rs
+++ b/crates/rampbay-peer/src/peer.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Lists the entries that the peer knows and records can be read through; none if the peer
+    /// Lists the entries known to the peer through which records can be read; none if the peer
     /// can't be reached.
     pub async fn entries(&self) -> Vec<Member> {
         match self.call(&StoreRequest::Entries, PING_TIMEOUT).await {
--- a/crates/rampbay-peer/tests/ages.rs
+++ b/crates/rampbay-peer/tests/ages.rs
@@ -1,4 +1,5 @@
-//! What an answer of a peer proves: by the wait that was sent to it, never by the one that was asked for.
+//! How current a peer's answer is: that is computed from the wait that was sent to the peer, never
+//! from the wait that the reader asked for.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,24 +18,24 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Wait that a reader asks for.
-const ASKED: Duration = Duration::from_millis(1000);
+/// Wait that the reader asks for.
+const REQUESTED_WAIT: Duration = Duration::from_millis(1000);
 /// Longest wait at a peer that passes records on.
-const AT_PEER: Duration = Duration::from_millis(400);
+const PEER_WAIT: Duration = Duration::from_millis(400);
 
 /// How a peer answers reads.
 #[derive(Clone, Copy, Debug)]
 struct Script {
-    /// Whether it waits as long as it is told, or not at all.
+    /// Whether it waits as long as it is asked to, or not at all.
     waits: bool,
     /// How many records it answers with.
     records: Offset,
-    /// How old it says its view is.
+    /// The age of its view according to its answer.
     age: Duration,
 }
 
-/// A peer that has no records yet, waits as it is told and says that its view is current.
-const SOUND: Script = Script { waits: true, records: 0, age: Duration::ZERO };
+/// A peer without new records that waits as it is asked to and whose view is current.
+const CURRENT: Script = Script { waits: true, records: 0, age: Duration::ZERO };
 
 fn handler(script: Script) -> Handler {
     Rc::new(move |received| {
@@ -72,7 +73,7 @@
     PeerStore::new(Rc::new(HttpClient::default()), address.to_string())
 }
 
-/// Makes a store that reads the state through peers, and has none of its own.
+/// Creates a store that reads the state through peers, without a reachable store behind it.
 fn tail_of(peers: Vec<PeerStore>) -> TailStore {
     let addresses: Vec<String> = peers.iter().map(|peer| peer.address().to_owned()).collect();
     let transport: Rc<dyn Transport> = Rc::new(HttpClient::default());
@@ -81,17 +82,17 @@
         let peers = peers.map(|address| PeerStore::new(Rc::clone(&transport), address.clone()));
         Sources { peers: peers.collect(), is_root: false }
     };
-    let nowhere = PeerStore::new(Rc::new(HttpClient::default()), "127.0.0.1:1".to_owned());
-    TailStore::new(Rc::new(nowhere), STATE_TOPIC, Box::new(sources))
+    let unreachable = PeerStore::new(Rc::new(HttpClient::default()), "127.0.0.1:1".to_owned());
+    TailStore::new(Rc::new(unreachable), STATE_TOPIC, Box::new(sources))
 }
 
-fn on_loopback<F: Future<Output = ()>>(test: F) {
+fn run_on_loopback<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-/// Reads as a follower does: again after a read without answer.
-async fn answer_of(store: &dyn Store, wait: Duration) -> Batch {
+/// Reads like a follower, which tries again after a failed read.
+async fn read_until_answered(store: &dyn Store, wait: Duration) -> Batch {
     loop {
         if let Ok(batch) = store.read(STATE_TOPIC, 7, wait).await {
             return batch;
@@ -101,35 +102,36 @@
 }
 
 #[rstest]
-#[case::after_its_wait(SOUND, AT_PEER)]
-#[case::with_record(Script { records: 1, ..SOUND }, Duration::ZERO)]
+#[case::after_its_wait(CURRENT, PEER_WAIT)]
+#[case::with_record(Script { records: 1, ..CURRENT }, Duration::ZERO)]
 fn tail_waited(#[case] script: Script, #[case] expected: Duration) {
-    on_loopback(async move {
+    run_on_loopback(async move {
         let store = tail_of(vec![peer(script).await]);
-        assert_eq!(answer_of(&store, ASKED).await.waited, expected);
+        assert_eq!(read_until_answered(&store, REQUESTED_WAIT).await.waited, expected);
     });
 }
 
-/// The second peer is asked late: its answer speaks for its own wait, not for both together.
+/// The second peer is asked after the first one: its answer counts its own wait only, not both
+/// waits together.
 #[test]
 fn tail_of_second_peer_waited() {
-    on_loopback(async {
-        let stale = Script { age: Duration::from_secs(3), ..SOUND };
-        let store = tail_of(vec![peer(stale).await, peer(SOUND).await]);
-        let batch = answer_of(&store, ASKED).await;
-        assert_eq!((batch.age, batch.waited), (Duration::ZERO, AT_PEER));
+    run_on_loopback(async {
+        let stale = Script { age: Duration::from_secs(3), ..CURRENT };
+        let store = tail_of(vec![peer(stale).await, peer(CURRENT).await]);
+        let batch = read_until_answered(&store, REQUESTED_WAIT).await;
+        assert_eq!((batch.age, batch.waited), (Duration::ZERO, PEER_WAIT));
     });
 }
 
 #[rstest]
-#[case::after_its_wait(SOUND, 200, 200)]
-#[case::empty_at_once(Script { waits: false, ..SOUND }, 5000, 0)]
+#[case::after_its_wait(CURRENT, 200, 200)]
+#[case::empty_at_once(Script { waits: false, ..CURRENT }, 5000, 0)]
 fn read_of_peer_waited(#[case] script: Script, #[case] asked_ms: u64, #[case] expected_ms: u64) {
-    on_loopback(async move {
+    run_on_loopback(async move {
         let store = peer(script).await;
         // Only whole milliseconds are sent.
         let asked = Duration::from_millis(asked_ms) + Duration::from_micros(900);
-        let waited = answer_of(&store, asked).await.waited;
+        let waited = read_until_answered(&store, asked).await.waited;
         assert_eq!(waited, Duration::from_millis(expected_ms));
     });
 }
--- a/crates/rampbay-peer/tests/client.rs
+++ b/crates/rampbay-peer/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client against servers whose open connections go silent.
+//! The client against servers whose open connections stop responding.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,17 +10,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Time after which a call is given up.
+/// Timeout of a call.
 const TIMEOUT: Duration = Duration::from_millis(200);
-/// Time that the server takes for an answer, so that calls made together need a connection each.
+/// Time that the server takes to answer, so that concurrent calls need a connection each.
 const ANSWER_TIME: Duration = Duration::from_millis(20);
 
-/// A server that answers each request on a connection, until that connection goes silent for good.
+/// A server that answers each request on a connection, until that connection stops responding for
+/// good.
 struct Server {
     address: String,
-    /// Connections taken later than so many are sound.
+    /// Connections up to this number don't respond any more; later ones do.
     silent_up_to: Rc<Cell<usize>>,
-    taken: Rc<Cell<usize>>,
+    accepted: Rc<Cell<usize>>,
 }
 
 impl Server {
@@ -28,20 +29,20 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address").to_string();
         let silent_up_to = Rc::new(Cell::new(0));
-        let taken = Rc::new(Cell::new(0));
-        let (silent, count) = (Rc::clone(&silent_up_to), Rc::clone(&taken));
+        let accepted = Rc::new(Cell::new(0));
+        let (silent, count) = (Rc::clone(&silent_up_to), Rc::clone(&accepted));
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 count.set(count.get() + 1);
                 tokio::task::spawn_local(serve(stream, count.get(), Rc::clone(&silent)));
             }
         });
-        Self { address, silent_up_to, taken }
+        Self { address, silent_up_to, accepted }
     }
 
-    /// Lets all open connections go silent; new ones are sound.
+    /// Stops responses on all open connections; new ones respond.
     fn silence_open_connections(&self) {
-        self.silent_up_to.set(self.taken.get());
+        self.silent_up_to.set(self.accepted.get());
     }
 
     fn call(&self) -> Call {
@@ -65,28 +66,29 @@
         }
         tokio::time::sleep(ANSWER_TIME).await;
         if number <= silent_up_to.get() {
-            // Neither an answer nor an end.
+            // Neither responds nor closes the connection.
             std::future::pending::<()>().await;
         }
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").await;
     }
 }
 
-fn on_loopback<F: Future<Output = ()>>(test: F) {
+fn run_on_loopback<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-/// Several connections that are kept open go silent at once: one call is lost, not one for each.
+/// Several pooled connections stop responding at once: one call is lost, not one for each
+/// connection.
 #[test]
 fn call_after_silence_uses_new_connection() {
-    on_loopback(async {
+    run_on_loopback(async {
         let server = Server::start().await;
         let client = HttpClient::default();
         let call = || client.call(server.call());
         let (one, two, three) = tokio::join!(call(), call(), call());
         assert!(one.is_ok() && two.is_ok() && three.is_ok());
-        assert_eq!(server.taken.get(), 3, "three connections are kept");
+        assert_eq!(server.accepted.get(), 3, "three connections are kept");
         server.silence_open_connections();
         assert_eq!(call().await.err(), Some(CallError::NoAnswer));
         for _ in 0..3 {
@@ -95,10 +97,10 @@
     });
 }
 
-/// A call that is under way on a sound connection outlasts the closing of the idle ones.
+/// A call in progress on a working connection continues while the idle connections are closed.
 #[test]
-fn call_under_way_outlasts_closing_of_idle_ones() {
-    on_loopback(async {
+fn call_in_progress_survives_closing_of_idle_connections() {
+    run_on_loopback(async {
         let server = Server::start().await;
         let client = HttpClient::default();
         assert!(client.call(server.call()).await.is_ok());
@@ -113,17 +115,17 @@
     });
 }
 
-/// A server that is silent doesn't hold up calls to another.
+/// A server that doesn't respond has no effect on calls to another server.
 #[test]
 fn call_to_other_address_keeps_its_connection() {
-    on_loopback(async {
-        let (silent, sound) = (Server::start().await, Server::start().await);
+    run_on_loopback(async {
+        let (silent, working) = (Server::start().await, Server::start().await);
         let client = HttpClient::default();
         assert!(client.call(silent.call()).await.is_ok());
-        assert!(client.call(sound.call()).await.is_ok());
+        assert!(client.call(working.call()).await.is_ok());
         silent.silence_open_connections();
         assert!(client.call(silent.call()).await.is_err());
-        assert!(client.call(sound.call()).await.is_ok());
-        assert_eq!(sound.taken.get(), 1);
+        assert!(client.call(working.call()).await.is_ok());
+        assert_eq!(working.accepted.get(), 1);
     });
 }
--- a/crates/rampbay-peer/tests/gathering.rs
+++ b/crates/rampbay-peer/tests/gathering.rs
@@ -1,4 +1,4 @@
-//! Appends that a process gathers for others, and finds only after a stop.
+//! Appends that a process batches for others, and reads only after it was suspended.
 
 use std::cell::{Cell, RefCell};
 use std::io::Write;
@@ -19,19 +19,19 @@
 use rstest::rstest;
 use tokio::sync::{Notify, watch};
 
-/// Time in which a server on the same machine has done what it was sent.
-const DONE: Duration = Duration::from_millis(300);
+/// Time in which a server on the same machine handles what it was sent.
+const HANDLING_TIME: Duration = Duration::from_millis(300);
 
-/// A store that notes what is appended, and may hold an append back.
+/// A store that records what is appended, and may delay an append.
 #[derive(Default)]
-struct NotingStore {
+struct RecordingStore {
     keys: RefCell<Vec<String>>,
-    holds: Cell<bool>,
+    delays: Cell<bool>,
     released: Notify,
 }
 
 #[async_trait(?Send)]
-impl Store for NotingStore {
+impl Store for RecordingStore {
     async fn append(
         &self,
         _: &str,
@@ -39,7 +39,7 @@
         _: Option<&Fence>,
     ) -> Result<Offset, AppendError> {
         self.keys.borrow_mut().extend(records.iter().map(|record| record.key.clone()));
-        if self.holds.get() {
+        if self.delays.get() {
             self.released.notified().await;
         }
         Ok(self.keys.borrow().len() as Offset)
@@ -64,7 +64,7 @@
     }
 }
 
-/// Sends an append to be gathered. The connection stays open until it is dropped.
+/// Sends an append to be batched. The connection stays open until the returned stream is dropped.
 fn send(address: SocketAddr, key: &str) -> TcpStream {
     let record = KeyedRecord { key: key.to_owned(), value: vec![1] };
     let request = StoreRequest::Gather { topic: STATE_TOPIC.to_owned(), records: vec![record] };
@@ -79,19 +79,19 @@
     connection
 }
 
-/// Runs a test beside a process that gathers appends for a store.
-fn beside_gateway<F: Future<Output = ()>>(test: impl FnOnce(SocketAddr, Rc<NotingStore>) -> F) {
+/// Runs a test with a process that batches appends to a store.
+fn with_gateway<F: Future<Output = ()>>(test: impl FnOnce(SocketAddr, Rc<RecordingStore>) -> F) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = free.local_addr().expect("an address");
         drop(free);
-        let store = Rc::new(NotingStore::default());
-        let shared: Rc<dyn Store> = store.clone();
-        let batching: Rc<dyn Store> = Rc::new(GroupStore::new(Rc::clone(&shared)));
+        let store = Rc::new(RecordingStore::default());
+        let shared_store: Rc<dyn Store> = store.clone();
+        let batching: Rc<dyn Store> = Rc::new(GroupStore::new(Rc::clone(&shared_store)));
         let served = PeerService {
-            direct: shared,
+            direct: shared_store,
             batching,
             followed: FollowedTopics::new(),
             reports: None,
@@ -100,11 +100,11 @@
         let never = watch::channel(ServerState::Open);
         tokio::select! {
             served = serve(address, 1 << 20, handler(served), never.1) => {
-                panic!("the gateway serves: {served:?}")
+                panic!("the gateway's server ended: {served:?}")
             }
             () = async {
                 // The server listens once it has been polled.
-                tokio::time::sleep(DONE).await;
+                tokio::time::sleep(HANDLING_TIME).await;
                 test(address, store).await;
             } => {}
         }
@@ -112,41 +112,42 @@
 }
 
 #[test]
-fn gather_caller_there_appended() {
-    beside_gateway(async |address, store| {
+fn gather_connected_caller_appended() {
+    with_gateway(async |address, store| {
         let _connection = send(address, "there");
-        tokio::time::sleep(DONE).await;
+        tokio::time::sleep(HANDLING_TIME).await;
         assert_eq!(*store.keys.borrow(), ["there"]);
     });
 }
 
-/// A process that was stopped finds calls of agents that have long gone past it: done now, they would land
-/// after what these agents have written since.
+/// A process that was suspended finds calls of agents that have used another path in the meantime.
+/// If it made these appends now, they would come after the newer records of the same agents.
 #[rstest]
 #[case::one(1)]
 #[case::many(60)]
-fn gather_callers_gone_left_out(#[case] count: usize) {
-    beside_gateway(async move |address, store| {
-        // This thread is the server's as well: it finds the calls and their ends at once.
+fn gather_disconnected_callers_skipped(#[case] count: usize) {
+    with_gateway(async move |address, store| {
+        // The server runs on this thread as well: it finds the calls and their ends at the same
+        // time.
         (0..count).for_each(|_| drop(send(address, "gone")));
-        tokio::time::sleep(DONE).await;
+        tokio::time::sleep(HANDLING_TIME).await;
         assert!(store.keys.borrow().is_empty(), "{:?}", store.keys.borrow());
     });
 }
 
-/// The same behind an append that was under way when the process was stopped.
+/// As above, behind an append that was in progress when the process was suspended.
 #[test]
-fn gather_caller_gone_behind_another_left_out() {
-    beside_gateway(async |address, store| {
-        store.holds.set(true);
+fn gather_disconnected_caller_behind_another_skipped() {
+    with_gateway(async |address, store| {
+        store.delays.set(true);
         let _first = send(address, "first");
-        tokio::time::sleep(DONE).await;
+        tokio::time::sleep(HANDLING_TIME).await;
         let second = send(address, "second");
-        tokio::time::sleep(DONE).await;
+        tokio::time::sleep(HANDLING_TIME).await;
         drop(second);
         store.released.notify_one();
-        store.holds.set(false);
-        tokio::time::sleep(DONE).await;
+        store.delays.set(false);
+        tokio::time::sleep(HANDLING_TIME).await;
         assert_eq!(*store.keys.borrow(), ["first"]);
     });
 }
--- a/crates/rampbay-peer/tests/group.rs
+++ b/crates/rampbay-peer/tests/group.rs
@@ -1,4 +1,4 @@
-//! Group commit, against a store that takes its appends in turn, on virtual time.
+//! Group commit, against a store that applies appends one after the other, in virtual time.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,15 +17,15 @@
 use tokio::sync::Mutex;
 use tokio::time::{Instant, sleep};
 
-/// Time that one append takes at a sound store.
+/// Time that one append takes at a store of usual speed.
 const APPEND_TIME: Duration = Duration::from_millis(4);
-/// Longest queue of appends; more are turned away.
-const LONGEST_QUEUE: Duration = Duration::from_secs(2);
+/// Longest queue of appends; further ones are rejected.
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
 
-/// A store that takes its appends in turn.
+/// A store that applies appends one after the other.
 #[derive(Default)]
 struct SerialStore {
-    turn: Mutex<()>,
+    guard: Mutex<()>,
     queued: Cell<u32>,
     slowness: Cell<u32>,
     kept: RefCell<Vec<KeyedRecord>>,
@@ -46,13 +46,13 @@
         records: &[KeyedRecord],
         _: Option<&Fence>,
     ) -> Result<Offset, AppendError> {
-        if self.append_time() * self.queued.get() > LONGEST_QUEUE {
+        if self.append_time() * self.queued.get() > MAX_QUEUE_TIME {
             return Err(AppendError::Refused);
         }
         self.queued.set(self.queued.get() + 1);
-        let turn = self.turn.lock().await;
+        let guard = self.guard.lock().await;
         sleep(self.append_time()).await;
-        drop(turn);
+        drop(guard);
         self.queued.set(self.queued.get() - 1);
         self.appends.set(self.appends.get() + 1);
         self.kept.borrow_mut().extend_from_slice(records);
@@ -80,7 +80,7 @@
     }
 }
 
-fn on_virtual_time<F: Future<Output = ()>>(test: F) {
+fn run_in_virtual_time<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -89,7 +89,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// One process's way to the store.
+/// The layers of one process over the store.
 fn process(store: &Rc<SerialStore>) -> Rc<dyn Store> {
     let direct = DirectStore::new(Rc::clone(store) as Rc<dyn Store>, APPEND_TIME * 25);
     Rc::new(GroupStore::new(Rc::new(RelayStore::new(direct, Box::new(|| Rc::from([]))))))
@@ -100,8 +100,8 @@
 }
 
 #[test]
-fn appends_meanwhile_ride_together() {
-    on_virtual_time(async {
+fn concurrent_appends_batched() {
+    run_in_virtual_time(async {
         let store = Rc::new(SerialStore::default());
         let group = process(&store);
         let appends = (0..20).map(|number| {
@@ -111,14 +111,14 @@
         let outcomes = futures_util::future::join_all(appends).await;
         assert!(outcomes.iter().all(Result::is_ok));
         assert_eq!(store.kept.borrow().len(), 20);
-        assert!(store.appends.get() <= 2, "what comes while one is under way goes together");
+        assert!(store.appends.get() <= 2, "appends during another one are batched");
     });
 }
 
-/// What a caller has given up on before its turn is surely not appended.
+/// Records of a caller that gave up before they were sent are never appended.
 #[test]
-fn caller_gone_left_out() {
-    on_virtual_time(async {
+fn abandoned_append_skipped() {
+    run_in_virtual_time(async {
         let store = Rc::new(SerialStore::default());
         store.slowness.set(50);
         let group = process(&store);
@@ -135,13 +135,13 @@
     });
 }
 
-/// Four processes with five appends a second each, while the store is slow for five seconds. Seen on
-/// the bench: its queue grew past two seconds and nearly everything was turned away.
+/// Four processes make five appends a second each while the store is slow for five seconds. Seen on
+/// the bench: the store's queue grew past two seconds, and nearly all appends were rejected.
 #[rstest]
 #[case::sixty_times(60)]
 #[case::ninety_six_times(96)]
 fn slow_store_goodput(#[case] slowness: u32) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let store = Rc::new(SerialStore::default());
         store.slowness.set(slowness);
         let (kept, slowest) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(Duration::ZERO)));
@@ -162,19 +162,21 @@
         sleep(Duration::from_secs(5)).await;
         store.slowness.set(1);
         sleep(Duration::from_secs(5)).await;
-        assert_eq!(kept.get(), 100, "nothing is turned away");
-        // Its own process's batch under way, and then its own, each behind three others.
-        let longest = APPEND_TIME * slowness * 9;
-        assert!(slowest.get() < longest, "{:?}", slowest.get());
-        assert!(store.appends.get() < 100, "appends went together");
+        assert_eq!(kept.get(), 100, "no append is rejected");
+        // An append waits for the batch in progress of its process and for its own batch, each
+        // behind those of three others.
+        let max_time = APPEND_TIME * slowness * 9;
+        assert!(slowest.get() < max_time, "{:?}", slowest.get());
+        assert!(store.appends.get() < 100, "appends are batched");
     });
 }
 
-/// Each caller is told where its own records end: with the end of the whole batch, a process whose table
-/// ends within it would take its records for the last ones, and pass over those of others.
+/// Each caller gets the offset after its own records. With the end of the whole batch, a process
+/// whose table ends within the batch would take its own records for the last ones, and skip those
+/// of others.
 #[test]
-fn append_in_group_own_end() {
-    on_virtual_time(async {
+fn batched_append_returns_own_end() {
+    run_in_virtual_time(async {
         let store = Rc::new(SerialStore::default());
         let group = process(&store);
         let appends = (0..5).map(|number| {
@@ -183,7 +185,7 @@
             async move { group.append(STATE_TOPIC, &records, None).await }
         });
         let outcomes = futures_util::future::join_all(appends).await;
-        assert!(store.appends.get() <= 2, "they go together");
+        assert!(store.appends.get() <= 2, "they are batched");
         let kept = store.kept.borrow();
         for (number, outcome) in (0..).zip(outcomes) {
             let end = outcome.expect("kept") as usize;
--- a/crates/rampbay-peer/tests/relay.rs
+++ b/crates/rampbay-peer/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Access to the store over several ways, against scripted stores on virtual time.
+//! Access to the store over several paths, against scripted stores in virtual time.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,10 +16,10 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-/// Time between two probes of a broken way.
+/// Time between two probes of an unavailable path.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A store that answers as it is told.
+/// A store with scripted answers.
 struct Scripted {
     append: RefCell<Result<Offset, AppendError>>,
     readable: Cell<bool>,
@@ -105,11 +105,11 @@
     RelayStore::new(direct, Box::new(list))
 }
 
-fn behind_gateways(store: RelayStore, gateways: Gateways) -> GatewayStore {
+fn with_gateways(store: RelayStore, gateways: Gateways) -> GatewayStore {
     GatewayStore::new(Rc::new(store), gateways)
 }
 
-fn on_virtual_time<F: Future<Output = ()>>(test: F) {
+fn run_in_virtual_time<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -122,26 +122,26 @@
 const UNKNOWN: Result<Offset, AppendError> = Err(AppendError::Unknown);
 
 #[rstest]
-#[case::direct_serves(Ok(1), REFUSED, Ok(1))]
-#[case::peer_serves(REFUSED, Ok(2), Ok(2))]
+#[case::direct_answers(Ok(1), REFUSED, Ok(1))]
+#[case::peer_answers(REFUSED, Ok(2), Ok(2))]
 #[case::all_refuse(REFUSED, REFUSED, REFUSED)]
-#[case::one_open(UNKNOWN, REFUSED, UNKNOWN)]
+#[case::one_unknown(UNKNOWN, REFUSED, UNKNOWN)]
 #[case::fenced_is_final(Err(AppendError::Fenced), Ok(2), Err(AppendError::Fenced))]
 fn append_outcomes(
     #[case] direct: Result<Offset, AppendError>,
     #[case] peer: Result<Offset, AppendError>,
     #[case] expected: Result<Offset, AppendError>,
 ) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let store = relay(&Scripted::answering(direct), &[Scripted::answering(peer)]);
         assert_eq!(store.append(STATE_TOPIC, &[], None).await, expected);
     });
 }
 
-/// Nobody waits for a time-out when every way turns the call away.
+/// If every path refuses the call, the caller doesn't wait for a timeout.
 #[test]
-fn refusal_comes_at_once() {
-    on_virtual_time(async {
+fn refused_everywhere_without_delay() {
+    run_in_virtual_time(async {
         let peers = [Scripted::answering(REFUSED), Scripted::answering(REFUSED)];
         let store = relay(&Scripted::answering(REFUSED), &peers);
         let started = Instant::now();
@@ -150,10 +150,10 @@
     });
 }
 
-/// A way that doesn't answer is not waited for alone.
+/// While a path doesn't answer, the call is made over another one as well.
 #[test]
-fn silent_way_hedged() {
-    on_virtual_time(async {
+fn silent_path_hedged() {
+    run_in_virtual_time(async {
         let silent = Scripted::answering(UNKNOWN);
         silent.delay.set(Duration::from_secs(2));
         let store = relay(&silent, &[Scripted::answering(Ok(5))]);
@@ -163,11 +163,11 @@
     });
 }
 
-/// Seen on the bench: one lost answer closed a way that served, and while answers were lost all
-/// processes turned each other away.
+/// One lost answer leaves the path available. Seen on the bench: it made a working path
+/// unavailable, and while answers were lost all processes rejected each other's calls.
 #[test]
-fn one_lost_answer_leaves_way_open() {
-    on_virtual_time(async {
+fn one_lost_answer_keeps_path_available() {
+    run_in_virtual_time(async {
         let lossy = Scripted::answering(UNKNOWN);
         let direct = DirectStore::new(Rc::clone(&lossy) as Rc<dyn Store>, PROBE_INTERVAL);
         assert_eq!(direct.append(STATE_TOPIC, &[], None).await, UNKNOWN);
@@ -178,8 +178,8 @@
 }
 
 #[test]
-fn broken_way_closed_then_probed() {
-    on_virtual_time(async {
+fn failed_path_unavailable_until_probed() {
+    run_in_virtual_time(async {
         let store = Scripted::answering(UNKNOWN);
         store.readable.set(false);
         let direct = DirectStore::new(Rc::clone(&store) as Rc<dyn Store>, PROBE_INTERVAL);
@@ -188,7 +188,7 @@
             assert!(direct.read(STATE_TOPIC, 0, Duration::ZERO).await.is_err());
         }
         assert_eq!(direct.append(STATE_TOPIC, &[], None).await, REFUSED);
-        assert_eq!(store.appends.get(), 0, "a closed way isn't tried");
+        assert_eq!(store.appends.get(), 0, "an unavailable path isn't tried");
         store.readable.set(true);
         *store.append.borrow_mut() = Ok(1);
         tokio::time::sleep(Duration::from_millis(600)).await;
@@ -196,16 +196,16 @@
     });
 }
 
-/// Seen on the bench: a slow store was sent every append up to four times, which made its queue
-/// longer still.
+/// An append to a slow store isn't sent again. Seen on the bench: a slow store got every append up
+/// to four times, which made its queue even longer.
 #[test]
-fn slow_store_not_repeated() {
-    on_virtual_time(async {
+fn append_to_slow_store_not_retried() {
+    run_in_virtual_time(async {
         let slow = Scripted::answering(Ok(5));
         slow.delay.set(Duration::from_millis(900));
         slow.read_delay.set(Duration::from_millis(400));
         let peer = Scripted::answering(Ok(6));
-        // It goes to the same store.
+        // The peer uses the same store.
         peer.read_delay.set(Duration::from_millis(400));
         let store = relay(&slow, &[Rc::clone(&peer)]);
         assert_eq!(store.append(STATE_TOPIC, &[], None).await, Ok(5));
@@ -213,11 +213,12 @@
     });
 }
 
-/// A store that is silent to this process alone is reached through a peer within some tenths of a second, and what
-/// comes after goes there at once. By its own time-outs alone an append took 0.8 s each.
+/// If the store doesn't answer this process alone, an append goes through a peer within some tenths
+/// of a second, and later calls go there at once. With its own timeouts only, each append took 0.8
+/// s.
 #[test]
-fn silent_way_left_for_peer_that_is_served() {
-    on_virtual_time(async {
+fn silent_path_replaced_by_served_peer() {
+    run_in_virtual_time(async {
         let silent = Scripted::answering(Ok(5));
         silent.delay.set(Duration::from_secs(60));
         silent.read_delay.set(Duration::from_secs(60));
@@ -236,10 +237,10 @@
     });
 }
 
-/// A peer that the store turns away as well says nothing about the own way.
+/// A peer that the store rejects as well is no evidence against the direct path.
 #[test]
-fn silent_way_kept_while_peers_are_turned_away() {
-    on_virtual_time(async {
+fn silent_path_kept_while_peers_rejected() {
+    run_in_virtual_time(async {
         let silent = Scripted::answering(Ok(5));
         silent.delay.set(Duration::from_millis(500));
         silent.read_delay.set(Duration::from_millis(450));
@@ -251,17 +252,17 @@
     });
 }
 
-/// A store that answers a probe has lost the append that it doesn't answer.
+/// A store that answers a probe but not the append has lost the append.
 #[test]
-fn lost_answer_repeated_soon() {
-    on_virtual_time(async {
+fn lost_append_retried_soon() {
+    run_in_virtual_time(async {
         let lossy = Scripted::answering(Ok(5));
         lossy.delay.set(Duration::from_secs(60));
         let store = relay(&lossy, &[]);
-        let healing = Rc::clone(&lossy);
+        let recovering = Rc::clone(&lossy);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(Duration::from_millis(50)).await;
-            healing.delay.set(Duration::from_millis(4));
+            recovering.delay.set(Duration::from_millis(4));
         });
         let started = Instant::now();
         assert_eq!(store.append(STATE_TOPIC, &[], None).await, Ok(5));
@@ -269,19 +270,20 @@
     });
 }
 
-/// An append that was under way when the store fell silent is sent again as soon as it is back.
+/// An append that was in progress when the store stopped answering is sent again as soon as the
+/// store answers.
 #[test]
-fn silence_over_append_sent_again() {
-    on_virtual_time(async {
+fn append_retried_after_silence() {
+    run_in_virtual_time(async {
         let silent = Scripted::answering(Ok(5));
         silent.delay.set(Duration::from_secs(60));
         silent.read_delay.set(Duration::from_secs(60));
         let store = relay(&silent, &[]);
-        let healing = Rc::clone(&silent);
+        let recovering = Rc::clone(&silent);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(Duration::from_millis(2500)).await;
-            healing.delay.set(Duration::from_millis(4));
-            healing.read_delay.set(Duration::ZERO);
+            recovering.delay.set(Duration::from_millis(4));
+            recovering.read_delay.set(Duration::ZERO);
         });
         let started = Instant::now();
         assert_eq!(store.append(STATE_TOPIC, &[], None).await, Ok(5));
@@ -289,14 +291,14 @@
     });
 }
 
-/// A gateway that fails is passed over for a while; fenced appends never take it.
+/// A gateway that fails isn't used for a while; fenced appends never go through a gateway.
 #[test]
-fn gateway_failed_passed_over() {
-    on_virtual_time(async {
+fn failed_gateway_paused() {
+    run_in_virtual_time(async {
         let (direct, gateway) = (Scripted::answering(Ok(1)), Scripted::answering(Ok(2)));
-        let way = Rc::clone(&gateway) as Rc<dyn GatewayPeer>;
+        let path = Rc::clone(&gateway) as Rc<dyn GatewayPeer>;
         let store =
-            behind_gateways(relay(&direct, &[]), Box::new(move || Rc::from([Rc::clone(&way)])));
+            with_gateways(relay(&direct, &[]), Box::new(move || Rc::from([Rc::clone(&path)])));
         assert_eq!(store.append(STATE_TOPIC, &[], None).await, Ok(2));
         let fence = Fence { writer: "planner".to_owned(), epoch: 1, sequence: 0 };
         assert_eq!(store.append(STATE_TOPIC, &[], Some(&fence)).await, Ok(1));
@@ -312,64 +314,64 @@
     });
 }
 
-/// Seen on the bench: agents that had had nothing to ask took their next answer for the store's
-/// return, and dropped the reads that they had under way.
+/// An answer after an idle period is no recovery of the store. Seen on the bench: agents that had
+/// made no calls took their next answer for one, and dropped their reads in progress.
 #[test]
-fn idle_way_not_taken_for_regained() {
-    on_virtual_time(async {
+fn idle_path_not_recovered() {
+    run_in_virtual_time(async {
         let store = Scripted::answering(Ok(1));
         let direct = DirectStore::new(Rc::clone(&store) as Rc<dyn Store>, PROBE_INTERVAL);
         tokio::task::spawn_local(Rc::clone(&direct).run_probes());
         let watching = Rc::clone(&direct);
-        let regained = tokio::task::spawn_local(async move { watching.recovered().await });
+        let recovered = tokio::task::spawn_local(async move { watching.recovered().await });
         tokio::time::sleep(Duration::from_secs(10)).await;
         assert_eq!(direct.append(STATE_TOPIC, &[], None).await, Ok(1));
         tokio::time::sleep(Duration::from_millis(10)).await;
-        assert!(!regained.is_finished());
-        assert_eq!(store.pings.get(), 0, "an idle way isn't probed");
+        assert!(!recovered.is_finished());
+        assert_eq!(store.pings.get(), 0, "an idle path isn't probed");
         store.readable.set(false);
         assert!(direct.read(STATE_TOPIC, 0, Duration::ZERO).await.is_err());
         store.readable.set(true);
         assert!(direct.read(STATE_TOPIC, 0, Duration::ZERO).await.is_ok());
         tokio::time::sleep(Duration::from_millis(10)).await;
-        assert!(regained.is_finished());
+        assert!(recovered.is_finished());
     });
 }
 
-/// Seen on the bench: while the store was slow, 54 agents went past the gateway that was seeing to
-/// their appends, and the store's queue grew to its limit.
+/// A slow gateway is not bypassed. Seen on the bench: while the store was slow, 54 agents bypassed
+/// the gateway that was handling their appends, and the store's queue grew to its limit.
 #[test]
-fn slow_gateway_not_gone_past() {
-    on_virtual_time(async {
+fn slow_gateway_not_bypassed() {
+    run_in_virtual_time(async {
         let (direct, gateway) = (Scripted::answering(Ok(1)), Scripted::answering(Ok(2)));
         gateway.delay.set(Duration::from_millis(3500));
-        let way = Rc::clone(&gateway) as Rc<dyn GatewayPeer>;
+        let path = Rc::clone(&gateway) as Rc<dyn GatewayPeer>;
         let store =
-            behind_gateways(relay(&direct, &[]), Box::new(move || Rc::from([Rc::clone(&way)])));
+            with_gateways(relay(&direct, &[]), Box::new(move || Rc::from([Rc::clone(&path)])));
         assert_eq!(store.append(STATE_TOPIC, &[], None).await, Ok(2));
         assert_eq!((direct.appends.get(), gateway.appends.get()), (0, 1));
     });
 }
 
 #[test]
-fn gone_gateway_gone_past() {
-    on_virtual_time(async {
+fn unreachable_gateway_bypassed() {
+    run_in_virtual_time(async {
         let (direct, gateway) = (Scripted::answering(Ok(1)), Scripted::answering(Ok(2)));
         gateway.delay.set(Duration::from_secs(60));
         gateway.readable.set(false);
-        let way = Rc::clone(&gateway) as Rc<dyn GatewayPeer>;
+        let path = Rc::clone(&gateway) as Rc<dyn GatewayPeer>;
         let store =
-            behind_gateways(relay(&direct, &[]), Box::new(move || Rc::from([Rc::clone(&way)])));
+            with_gateways(relay(&direct, &[]), Box::new(move || Rc::from([Rc::clone(&path)])));
         let started = Instant::now();
         assert_eq!(store.append(STATE_TOPIC, &[], None).await, Ok(1));
         assert!(started.elapsed() < Duration::from_millis(200));
     });
 }
 
-/// A full queue of appends says nothing about the way: reads are answered.
+/// A full append queue is no evidence against the path: reads are answered.
 #[test]
-fn refused_appends_leave_way_open() {
-    on_virtual_time(async {
+fn refused_appends_keep_path_available() {
+    run_in_virtual_time(async {
         let full = Scripted::answering(REFUSED);
         let direct = DirectStore::new(Rc::clone(&full) as Rc<dyn Store>, PROBE_INTERVAL);
         for _ in 0..3 {
@@ -380,15 +382,16 @@
     });
 }
 
-/// Seen on the bench: after all processes had been killed, eighty of them probed the store ten times a
-/// second with reads of its whole history, and it served nothing else.
+/// An unavailable path is probed once per interval, with a small call. Seen on the bench: after all
+/// processes had been killed, eighty of them probed the store ten times a second with reads of its
+/// whole history, and it served nothing else.
 #[test]
-fn broken_way_probed_at_interval() {
-    on_virtual_time(async {
+fn unavailable_path_probed_at_interval() {
+    run_in_virtual_time(async {
         let store = Scripted::answering(UNKNOWN);
         store.readable.set(false);
-        let way = Rc::clone(&store) as Rc<dyn Store>;
-        let direct = DirectStore::new(way, Duration::from_millis(1000));
+        let path = Rc::clone(&store) as Rc<dyn Store>;
+        let direct = DirectStore::new(path, Duration::from_millis(1000));
         tokio::task::spawn_local(Rc::clone(&direct).run_probes());
         for _ in 0..2 {
             assert!(direct.read(STATE_TOPIC, 0, Duration::ZERO).await.is_err());
@@ -398,16 +401,17 @@
     });
 }
 
-/// Seen on the bench: the store turned the leader away, 240 agents appended one by one past it, and the
-/// store's queue stayed full for eighteen seconds.
+/// After a gateway that refuses appends the next one is used. Seen on the bench: the store rejected
+/// the leader, 240 agents appended directly one by one, and the store's queue stayed full for
+/// eighteen seconds.
 #[test]
-fn refusing_gateway_followed_by_another() {
-    on_virtual_time(async {
+fn refusing_gateway_replaced_by_another() {
+    run_in_virtual_time(async {
         let direct = Scripted::answering(Ok(1));
         let gateways = [Scripted::named("first", REFUSED), Scripted::named("second", Ok(2))];
         let listed = gateways.clone();
         let list = move || listed.iter().map(|g| Rc::clone(g) as Rc<dyn GatewayPeer>).collect();
-        let store = behind_gateways(relay(&direct, &[]), Box::new(list));
+        let store = with_gateways(relay(&direct, &[]), Box::new(list));
         for _ in 0..3 {
             assert_eq!(store.append(STATE_TOPIC, &[], None).await, Ok(2));
         }
@@ -416,13 +420,14 @@
     });
 }
 
-/// Seen on the bench: where 55 entries append, one append waits its turn behind many, though a probe
-/// is answered at once; repeated after eight times the probe's time, appends made the queue longer.
+/// An append is sent again later where many processes append. Seen on the bench: with 55 entries an
+/// append queues behind many others, though a probe is answered at once; appends that were sent
+/// again after eight times the probe's time made the queue longer.
 #[rstest]
 #[case::few_writers(4, 3)]
 #[case::many_writers(56, 1)]
-fn queued_append_repeated(#[case] writers: u32, #[case] appends: u32) {
-    on_virtual_time(async move {
+fn queued_append_retries(#[case] writers: u32, #[case] appends: u32) {
+    run_in_virtual_time(async move {
         let queued = Scripted::answering(Ok(5));
         queued.delay.set(Duration::from_millis(250));
         queued.read_delay.set(Duration::from_millis(6));
@@ -432,26 +437,26 @@
     });
 }
 
-/// A gateway that gave no answer may still bring the append to the store: ways that refuse it afterwards
-/// don't make it one that surely isn't kept.
+/// A gateway that gave no answer may still deliver the append to the store: paths that refuse the
+/// append afterwards don't prove that it isn't kept.
 #[rstest]
 #[case::gateway_unanswered(UNKNOWN, true, UNKNOWN)]
-#[case::gateway_gone(Ok(2), false, UNKNOWN)]
+#[case::gateway_unreachable(Ok(2), false, UNKNOWN)]
 #[case::gateway_refuses(REFUSED, true, REFUSED)]
 fn gateway_then_refused_elsewhere(
     #[case] gateway: Result<Offset, AppendError>,
     #[case] responds: bool,
     #[case] expected: Result<Offset, AppendError>,
 ) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let gateway = Scripted::answering(gateway);
         gateway.readable.set(responds);
         if !responds {
             gateway.delay.set(Duration::from_secs(60));
         }
-        let way = Rc::clone(&gateway) as Rc<dyn GatewayPeer>;
+        let path = Rc::clone(&gateway) as Rc<dyn GatewayPeer>;
         let store = relay(&Scripted::answering(REFUSED), &[Scripted::answering(REFUSED)]);
-        let store = behind_gateways(store, Box::new(move || Rc::from([Rc::clone(&way)])));
+        let store = with_gateways(store, Box::new(move || Rc::from([Rc::clone(&path)])));
         assert_eq!(store.append(STATE_TOPIC, &[], None).await, expected);
     });
 }
--- a/crates/rampbay-peer/tests/routes.rs
+++ b/crates/rampbay-peer/tests/routes.rs
@@ -22,7 +22,7 @@
 
 const LEADER: &str = "a-large-1";
 
-/// A process in a failure domain; large ones have room.
+/// A process in the failure domain that its name begins with; large ones are well-provisioned.
 fn member(node: &str) -> Member {
     let domain = node.chars().next().expect("a name").to_string();
     let is_large = node.contains("large");
@@ -64,13 +64,13 @@
 
 #[rstest]
 #[case::leader_reads_from_store("a-large-1", &[])]
-#[case::ample_reads_through_leader("b-large-1", &["a-large-1"])]
-fn sources_of_entry_of_ample(#[case] node: &str, #[case] expected: &[&str]) {
+#[case::well_provisioned_reads_through_leader("b-large-1", &["a-large-1"])]
+fn sources_of_well_provisioned_entry(#[case] node: &str, #[case] expected: &[&str]) {
     assert_eq!(names(&routes(node, &SITE).sources_of_entry()), expected);
 }
 
 #[test]
-fn sources_of_entry_of_small_near_and_ample_without_leader_first() {
+fn sources_of_small_entry_nearest_first_leader_last() {
     let found = names(&routes("b-small-1", &SITE).sources_of_entry());
     assert_eq!(found.len(), 3);
     assert!(found[..2].iter().all(|node| node.starts_with("b-large")), "{found:?}");
@@ -78,13 +78,14 @@
 }
 
 #[test]
-fn sources_of_agent_ample_only() {
+fn sources_of_agent_well_provisioned_only() {
     let found = names(&routes("b-side-1", &SITE).sources_of_agent());
     assert!(found.iter().all(|node| node.contains("large")), "{found:?}");
     assert!(found[0].starts_with("b-"));
 }
 
-/// What passes through the leader, the planner knows at once; after it come ample ones nearby.
+/// The planner learns at once of appends that pass through the leader, so the leader comes first;
+/// well-provisioned entries of the same failure domain follow.
 #[test]
 fn gateways_of_agent_leader_first() {
     let found = routes("b-side-1", &SITE).gateways_of_agent()();
@@ -95,7 +96,7 @@
 }
 
 #[rstest]
-#[case::ample("b-large-1", &[LEADER])]
+#[case::well_provisioned("b-large-1", &[LEADER])]
 #[case::small("b-small-1", &[LEADER])]
 #[case::leader(LEADER, &[])]
 fn gateways_of_entry_leader_alone(#[case] node: &str, #[case] expected: &[&str]) {
@@ -104,19 +105,20 @@
     assert_eq!(found, expected);
 }
 
-/// Whoever appends by itself has found no way through the leader, and so may all entries; the leader's own appends
-/// wait behind those that it gathers.
+/// A process that appends directly has found no path through the leader, and the same may hold for
+/// all entries; the leader's own appends queue behind those that it batches.
 #[rstest]
 #[case::agent("b-side-1", 6)]
 #[case::entry("b-small-1", 6)]
 #[case::leader(LEADER, 1)]
-fn writers_beside_a_process(#[case] node: &str, #[case] expected: u32) {
+fn writer_count_beside_process(#[case] node: &str, #[case] expected: u32) {
     assert_eq!(routes(node, &SITE).writer_count()(), expected);
 }
 
-/// Where no machine has room, agents read through all entries, and entries from the store.
+/// If no entry is well-provisioned, agents read through all entries, and entries read from the
+/// store.
 #[test]
-fn sources_without_ample_ones() {
+fn sources_without_well_provisioned_entries() {
     let site = ["a-small-1", "b-small-1", "b-side-1"];
     assert_eq!(names(&routes("b-side-1", &site).sources_of_agent()), ["b-small-1", "a-small-1"]);
     assert!(names(&routes("b-small-1", &site).sources_of_entry()).is_empty());
@@ -124,31 +126,34 @@
 
 #[rstest]
 #[case::small("b-small-1", true)]
-#[case::ample("b-large-1", false)]
-fn successors_of_small_only(#[case] node: &str, #[case] expected: bool) {
+#[case::well_provisioned("b-large-1", false)]
+fn preferred_leaders_of_small_only(#[case] node: &str, #[case] expected: bool) {
     assert_eq!(routes(node, &SITE).preferred_leaders().is_some(), expected);
 }
 
-/// A machine with room may hold an agent, whose view has gaps: an entry could lead by it.
+/// A well-provisioned machine may run an agent, whose view has gaps: an entry could become leader
+/// with such a view.
 #[test]
-fn sources_of_entry_of_small_entries_only() {
+fn sources_of_small_entry_entries_only() {
     let site = ["a-large-1", "b-small-1", "b-side-large-1"];
     assert_eq!(names(&routes("b-small-1", &site).sources_of_entry()), [LEADER]);
 }
 
-/// An agent never stands, however much room it has: a leader that handed over to it would do so for ever.
+/// An agent never stands for election, however well-provisioned it is: a leader that handed over to
+/// an agent would do so forever.
 #[rstest]
 #[case::agent("b-side-large-1", false)]
 #[case::entry("b-large-1", true)]
 #[tokio::test]
-async fn successors_entries_only(#[case] node: &str, #[case] expected: bool) {
+async fn preferred_leaders_entries_only(#[case] node: &str, #[case] expected: bool) {
     let routes = routes("b-small-1", &[]);
     let address = free_address().await;
     let answering = Member { address: address.to_string(), ..member(node) };
     routes.live.table.borrow_mut().apply(&Record::Member(answering).encode());
     let transport = Rc::clone(&routes.transport);
-    let preferred_leaders =
-        routes.preferred_leaders().expect("a process with little room has some");
+    let preferred_leaders = routes
+        .preferred_leaders()
+        .expect("a process that isn't well-provisioned has preferred leaders");
     let answers = async {
         while !PeerStore::new(Rc::clone(&transport), address.to_string()).responds().await {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -160,7 +165,7 @@
     let answered = local.run_until(async {
         tokio::select! {
             served = serve(address, 1 << 20, handler(served(&transport)), never.1) => {
-                panic!("the peer serves: {served:?}")
+                panic!("the peer's server ended: {served:?}")
             }
             answers = answers => answers,
         }
@@ -173,10 +178,10 @@
     listener.local_addr().expect("an address")
 }
 
-/// What a peer without a store serves: it answers pings.
+/// The service of a peer without a store, which answers pings.
 fn served(transport: &Rc<dyn Transport>) -> PeerService {
-    let nowhere = PeerStore::new(Rc::clone(transport), "127.0.0.1:1".to_owned());
-    let direct = DirectStore::new(Rc::new(nowhere), Duration::from_secs(1));
+    let unreachable = PeerStore::new(Rc::clone(transport), "127.0.0.1:1".to_owned());
+    let direct = DirectStore::new(Rc::new(unreachable), Duration::from_secs(1));
     PeerService {
         direct: direct.clone(),
         batching: direct,
--- a/crates/rampbay-peer/tests/server.rs
+++ b/crates/rampbay-peer/tests/server.rs
@@ -1,4 +1,4 @@
-//! The server against callers that go silent.
+//! The server against callers that stop sending.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,10 +15,10 @@
     listener.local_addr().expect("an address")
 }
 
-/// A caller that falls silent within its body is answered and dropped, so that it can't hold an orderly
-/// stop up, nor its memory for ever.
+/// A caller that stops sending in the middle of a body gets a response and is disconnected, so that
+/// it can't delay a graceful shutdown, nor occupy memory forever.
 #[test]
-fn body_that_stays_away_ends_its_connection() {
+fn incomplete_body_ends_connection() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let address = free_address().await;
