--- a/crates/rampbay-peer/tests/group.rs
+++ b/crates/rampbay-peer/tests/group.rs
@@ -25,7 +25,7 @@
 /// A store that applies appends one after the other.
 #[derive(Default)]
 struct SerialStore {
-    guard: Mutex<()>,
+    append_lock: Mutex<()>,
     queued: Cell<u32>,
     slowness: Cell<u32>,
     kept: RefCell<Vec<KeyedRecord>>,
@@ -50,9 +50,9 @@
             return Err(AppendError::Refused);
         }
         self.queued.set(self.queued.get() + 1);
-        let guard = self.guard.lock().await;
+        let append_lock = self.append_lock.lock().await;
         sleep(self.append_time()).await;
-        drop(guard);
+        drop(append_lock);
         self.queued.set(self.queued.get() - 1);
         self.appends.set(self.appends.get() + 1);
         self.kept.borrow_mut().extend_from_slice(records);
