--- a/crates/rampbay-peer/src/relay.rs
+++ b/crates/rampbay-peer/src/relay.rs
@@ -147,7 +147,8 @@
     ) -> Result<T, ReadError> {
         tokio::select! {
             outcome = call => outcome,
-            () = self.direct_path_lost_after(wait + self.check_delay()) => Err(ReadError::Unavailable),
+            () = self.direct_path_lost_after(wait + self.check_delay()) =>
+                Err(ReadError::Unavailable),
         }
     }
 
