--- a/crates/rampbay-peer/src/reports.rs
+++ b/crates/rampbay-peer/src/reports.rs
@@ -1,11 +1,11 @@
 //! Progress reports of runs, which are passed up the tree to the leader and appended to the store
 //! there.
 //!
-//! Every agent reports once every one or two seconds. An append per report would take all the
-//! appends that the store can apply one after the other (120 a second with 800 workers, 250 with
-//! 2,000), and a call to the leader per report a third of its load. So every entry collects the
-//! newest report of each worker for a moment and passes them on together; the leader appends them.
-//! A report that is lost is superseded by the next one.
+//! Every agent reports once every one or two seconds. One append per report would be 120 appends a
+//! second with 800 workers and 250 with 2,000, as many as the store applies one after the other,
+//! and one call to the leader per report a third of its load. So every entry collects the newest
+//! report of each worker for a moment and passes them on together; the leader appends them. A
+//! report that is lost is superseded by the next one.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
