--- a/crates/rampbay-jobs/src/planner/expire.rs
+++ b/crates/rampbay-jobs/src/planner/expire.rs
@@ -32,10 +32,9 @@
             planner.ended_since.insert(id.clone(), inputs.now);
         }
     }
-    let old = planner
-        .ended_since
-        .iter()
-        .filter(|(_, since)| inputs.now.saturating_sub(**since) >= planner.settings.keep_ended);
+    let old = planner.ended_since.iter().filter(|(_, since)| {
+        inputs.now.saturating_sub(**since) >= planner.settings.ended_job_retention
+    });
     let old: Vec<JobId> = old.map(|(id, _)| id.clone()).take(MOST_REMOVALS).collect();
     for id in old {
         remove(draft, &id);
--- a/crates/rampbay-jobs/src/settings.rs
+++ b/crates/rampbay-jobs/src/settings.rs
@@ -213,13 +213,15 @@
     #[must_use]
     pub fn planner(&self) -> PlannerSettings {
         PlannerSettings {
-            doubt_after: Duration::from_millis(3500),
+            suspect_after: Duration::from_millis(3500),
             evict_after: Duration::from_millis(7000),
-            gone_after: GUARD + self.lapse() + LAPSE_SLACK,
-            departed_after: self.lapse() + LAPSE_SLACK,
+            remove_evicted_after: GUARD + self.lapse() + LAPSE_SLACK,
+            remove_departed_after: self.lapse() + LAPSE_SLACK,
             stall_after: Duration::from_millis(3500),
-            keep_ended: Duration::from_secs(self.status_s * KEEP_FACTOR),
-            operators_age: Duration::from_millis(self.drain_ms * DRAIN_MARGIN_PERMILLE / 1000),
+            ended_job_retention: Duration::from_secs(self.status_s * KEEP_FACTOR),
+            max_drain_orders_age: Duration::from_millis(
+                self.drain_ms * DRAIN_MARGIN_PERMILLE / 1000,
+            ),
             remote_penalty: self.remote_penalty.max(1),
             account_form: self.wide_accounts,
         }
--- a/crates/rampbay-jobs/tests/drains.rs
+++ b/crates/rampbay-jobs/tests/drains.rs
@@ -120,7 +120,7 @@
 fn plan_assigns_only_with_known_orders(#[case] age: Option<Duration>, #[case] running: usize) {
     on_virtual_time(async move {
         let mut rig = rig();
-        rig.operators_age = age;
+        rig.drain_orders_age = age;
         rig.submit(job(JOB, 2, step(1, 8)));
         rig.plan();
         assert_eq!(running_at(&rig, "east") + running_at(&rig, "west"), running);
--- a/crates/rampbay-jobs/tests/suspended.rs
+++ b/crates/rampbay-jobs/tests/suspended.rs
@@ -114,11 +114,11 @@
         rig.submit(job(JOB, 1, step(1, 1)));
         rig.plan();
         let worker = rig.instance_of(&task(JOB, 0));
-        rig.pass_without(Duration::from_secs(8), &worker).await;
+        rig.advance_with_silent(Duration::from_secs(8), &worker).await;
         rig.plan();
         assert!(rig.table.evicted.contains(&worker));
         suspend(SUSPENDED);
-        rig.pass_without(Duration::from_secs(2), &worker).await;
+        rig.advance_with_silent(Duration::from_secs(2), &worker).await;
         rig.plan();
         assert_eq!(rig.status_of(&task(JOB, 0)), TaskStatus::Running);
         assert_eq!(rig.instance_of(&task(JOB, 0)), worker);
