--- a/crates/rampbay-jobs/src/losses.rs
+++ b/crates/rampbay-jobs/src/losses.rs
@@ -49,8 +49,8 @@
 impl InFlightRun {
     /// Returns whether its worker went soon after its start.
     #[must_use]
-    pub const fn went_soon(&self) -> bool {
-        self.listed_ms < SOON_MS
+    pub const fn ended_soon_after_start(&self) -> bool {
+        self.listed_ms < SOON_AFTER_START_MS
     }
 }
 
@@ -85,7 +85,7 @@
 
 impl LostRun {
     /// Takes note that other workers went at the same moment: the cause isn't at the worker.
-    pub const fn excuse(&mut self) {
+    pub const fn clear_suspicion(&mut self) {
         self.is_proof = false;
         self.was_youngest = false;
     }
@@ -97,18 +97,18 @@
 const PROOFS_TO_GIVE_UP: usize = 2;
 /// For how long a worker that goes soon after a start may have listed the run, in milliseconds: it lists what it has
 /// once a second at least.
-const SOON_MS: u64 = 1000;
+const SOON_AFTER_START_MS: u64 = 1000;
 /// Losses after which a task is given up however they came about: after the third crash two more starts are the most
 /// that users accept. From the third loss on it is kept apart before all others, so that it takes nobody with it, and
 /// hardly has a neighbour to blame.
-const MOST_LOSSES: usize = 5;
+const MAX_LOSSES: usize = 5;
 /// Time after a loss within which another one of the same unit counts only if the run may have begun, in milliseconds.
 /// Where many machines lose power, what was lost at one is assigned to the next, whose agent doesn't know yet that its
 /// worker is another: a task was lost at five machines within 0.5 s, and had run at the first one only. A machine that
 /// a task crashes takes longer to be back.
-const ONE_LOSS_MS: u64 = 2000;
+const DUPLICATE_LOSS_WINDOW_MS: u64 = 2000;
 /// How long a loss counts, in milliseconds: an hour. A task that lasts for days loses its worker now and then.
-const COUNTED_FOR_MS: u64 = 3_600_000;
+const LOSS_RETENTION_MS: u64 = 3_600_000;
 
 /// How far a task is kept apart from others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -129,14 +129,15 @@
 impl UnitLosses {
     /// Takes in a loss, once for each run, and forgets what no longer counts. Returns whether it counts.
     pub fn add(&mut self, lost: LostRun) -> bool {
-        self.0.retain(|known| lost.at.saturating_sub(known.at) < COUNTED_FOR_MS);
+        self.0.retain(|known| lost.at.saturating_sub(known.at) < LOSS_RETENTION_MS);
         if let Some(known) = self.0.iter_mut().find(|known| known.attempt == lost.attempt) {
             // Another member of the gang: a worker where it had no neighbour doesn't clear the first one.
             known.is_proof |= lost.is_proof;
             known.was_youngest |= lost.was_youngest;
             return false;
         }
-        let is_recent = |known: &LostRun| lost.at.saturating_sub(known.at) < ONE_LOSS_MS;
+        let is_recent =
+            |known: &LostRun| lost.at.saturating_sub(known.at) < DUPLICATE_LOSS_WINDOW_MS;
         if !lost.may_have_begun && self.0.iter().any(is_recent) {
             return false;
         }
@@ -146,9 +147,9 @@
 
     /// Returns whether the unit is at fault as far as can be told.
     #[must_use]
-    pub fn is_convicted(&self) -> bool {
+    pub fn should_give_up(&self) -> bool {
         let is_proven = self.0.len() >= LOSSES_TO_GIVE_UP && self.proofs() >= PROOFS_TO_GIVE_UP;
-        is_proven || self.0.len() >= MOST_LOSSES
+        is_proven || self.0.len() >= MAX_LOSSES
     }
 
     /// Counts the losses that prove something.
@@ -177,7 +178,7 @@
 
     /// Returns whether one of them was at a machine.
     #[must_use]
-    pub fn was_at(&self, node: &str) -> bool {
+    pub fn occurred_at(&self, node: &str) -> bool {
         self.0.iter().any(|lost| lost.node == node)
     }
 }
@@ -188,8 +189,8 @@
 
 impl JobLosses {
     /// Forgets losses at workers whose lives turned out to go on: they were cut off, and nothing crashed them.
-    pub fn forgive(&mut self, goes_on: impl Fn(&str) -> bool) {
-        self.0.values_mut().for_each(|unit| unit.0.retain(|lost| !goes_on(&lost.instance)));
+    pub fn discard(&mut self, is_alive: impl Fn(&str) -> bool) {
+        self.0.values_mut().for_each(|unit| unit.0.retain(|lost| !is_alive(&lost.instance)));
         self.0.retain(|_, unit| !unit.0.is_empty());
     }
 
--- a/crates/rampbay-jobs/src/planner.rs
+++ b/crates/rampbay-jobs/src/planner.rs
@@ -1,24 +1,24 @@
-//! The planner: decides from the table what starts where and what is stopped, round by round.
+//! The planner: decides from the table which tasks start on which worker and which runs are stopped.
 //!
-//! A round is a function of the table, the configuration, the runs' progress and the time. It
-//! returns the records that hold its decisions; nothing counts before the store has kept them.
-//! What a planner remembers between rounds ([`health`], waits for evictions) only sways choices
-//! and may be lost with it.
+//! It works in rounds. A round is a function of the table, the configuration, the runs' progress
+//! and the time. It returns the records that hold its decisions; a decision takes effect only once
+//! the store has kept its record. The state that a planner keeps between rounds ([`health`], times
+//! of evictions) only influences choices, so it may be lost when another planner takes over.
 
 mod allowance;
 mod departure;
+mod displace;
 mod draft;
 mod drain;
 mod evict;
-mod exhausted;
 mod expire;
+mod fit;
+mod fleet_state;
 mod forecast;
-mod gang;
 pub mod health;
-mod isolate;
+mod infeasible;
+mod isolation;
 mod lost;
-mod make_room;
-mod pace;
 mod place;
 mod power_loss;
 mod preempt;
@@ -26,9 +26,9 @@
 mod queue;
 mod rack;
 mod reserve;
-mod room;
 mod running;
 mod settle;
+mod speed;
 mod units;
 mod unreported;
 mod waits;
@@ -45,101 +45,103 @@
 use crate::routing::Routing;
 use crate::table::JobTable;
 
-pub use progress::{ProgressTable, Seen};
+pub use progress::{ObservedProgress, ProgressTable};
 pub use waits::WaitReason;
 
 use draft::Draft;
 use forecast::Forecasts;
-use health::HealthBook;
+use health::HealthTracker;
 use lost::RecentlyLost;
-use pace::PaceBook;
 use power_loss::PowerLosses;
 use settle::SettledPlans;
+use speed::SpeedTracker;
 use unreported::UnreportedRuns;
-use waits::WaitBook;
+use waits::WaitLog;
 use workers::WorkerViews;
 
-/// Names the tasks of one step of one occurrence.
+/// Identifies one step of one occurrence: job, occurrence and step.
 type StepKey = (JobId, u32, u32);
-/// Place of a worker in a round: its index among all workers, in the order of their ids.
-type Place = usize;
+/// Index of a worker among all workers of a round, in the order of their ids.
+type WorkerIndex = usize;
 
-/// What a planner goes by: times, and how it writes.
+/// Time limits of a planner, and the layout in which it writes job plans.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerSettings {
-    /// Age of a report after which its worker gets no new work.
+    /// Age of an agent's last report after which its worker gets no new work.
     pub suspect_after: Duration,
-    /// Age of a report after which its worker's runs are given up.
+    /// Age of an agent's last report after which its worker is evicted.
     pub evict_after: Duration,
-    /// Time after an eviction from which no run of the worker can exist any more.
+    /// Time after an eviction from which no run of the worker can exist any more, so that the
+    /// worker is removed.
     pub remove_evicted_after: Duration,
-    /// Time after a worker's good-bye from which none of its runs can exist any more.
+    /// Time after a worker's deregistration from which none of its runs can exist any more, so that
+    /// the worker is removed.
     pub remove_departed_after: Duration,
     /// Time without progress after which a run is moved.
     pub stall_after: Duration,
-    /// How long a job is kept after its end.
+    /// Time for which a job is kept after its end.
     pub ended_job_retention: Duration,
-    /// Oldest knowledge of what operators want under which runs are assigned.
+    /// Greatest age of the known drain orders at which runs are still assigned.
     pub max_drain_orders_age: Duration,
-    /// How much longer work takes away from its data or spread over racks.
+    /// Factor by which work takes longer away from its data or spread over racks.
     pub remote_penalty: u64,
-    /// How accounts are written.
+    /// Layout in which job plans are written.
     pub account_form: AccountForm,
 }
 
-/// What one round goes by.
+/// Inputs of one round.
 pub struct RoundInputs<'a> {
     /// Jobs and workers.
     pub table: &'a JobTable,
     /// The configuration.
     pub routing: &'a Routing,
-    /// The failure domains that operators have drained, as this process reads their orders.
+    /// The failure domains that operators have drained, as this process has read their orders.
     pub drained: &'a DrainedDomains,
-    /// Age of what is known of the operators' orders; `None` before the first read.
+    /// Age of the known drain orders; `None` before the first read.
     pub drain_orders_age: Option<Duration>,
     /// Progress of the runs.
     pub progress: &'a ProgressTable,
-    /// Steady time since the planner began.
+    /// Monotonic time since the planner began.
     pub now: Duration,
-    /// Time of day.
+    /// Wall-clock time.
     pub wall: EpochMillis,
 }
 
-/// The planner.
+/// Makes the decisions of a leader, and keeps what influences them from round to round.
 #[derive(Debug)]
 pub struct Planner {
     settings: PlannerSettings,
-    health: HealthBook,
+    health: HealthTracker,
     forecasts: Forecasts,
-    pace: PaceBook,
-    waits: WaitBook,
+    speeds: SpeedTracker,
+    waits: WaitLog,
     evicted_since: BTreeMap<InstanceId, Duration>,
     departed_since: BTreeMap<InstanceId, Duration>,
     known_since: BTreeMap<InstanceId, Duration>,
-    /// Whether the operators' orders were known well enough in the last round.
-    knows_operators: bool,
+    /// Whether the known drain orders were recent enough in the last round.
+    drain_orders_known: bool,
     ended_since: BTreeMap<JobId, Duration>,
-    /// Since when this planner has known that registrations of workers are over.
-    over_since: BTreeMap<InstanceId, Duration>,
-    /// When ended jobs are looked for next.
-    expires_next: Duration,
+    /// When this planner learned that the registrations of a worker have ended.
+    registrations_ended_since: BTreeMap<InstanceId, Duration>,
+    /// Time of the next check for ended jobs.
+    next_expiry_check: Duration,
     settled: SettledPlans,
-    /// State of the progress at which runs were last looked at.
-    watched: Option<u64>,
-    /// Workers that went lately without notice.
+    /// Version of the progress table at which the runs were last checked.
+    last_checked_progress: Option<u64>,
+    /// Workers that were recently lost without notice.
     recently_lost: RecentlyLost,
-    /// Machines that lost their power lately.
+    /// Machines that recently lost power.
     power_losses: PowerLosses,
-    /// Whether runs on workers that are gone have been looked for since the workers changed.
+    /// Whether runs on removed workers have been searched for since the set of workers changed.
     lost_runs_checked: bool,
-    /// Assigned runs that their agents don't report.
+    /// Assigned runs that the agents don't report.
     unreported: UnreportedRuns,
 }
 
-/// Most workers that one line of the log names.
-const MOST_NAMED: usize = 8;
+/// Largest number of workers that a log line names.
+const MAX_NAMED: usize = 8;
 
-/// Tells which workers' registrations have come and gone since the last round.
+/// Logs which workers have been registered and removed since the last round.
 fn log_changed_workers(known: &BTreeMap<InstanceId, Duration>, table: &JobTable) {
     let workers = &table.workers;
     let came = workers.keys().filter(|instance| !known.contains_key(*instance));
@@ -151,30 +153,30 @@
         workers.len(),
         came.len(),
         gone.len(),
-        &came[..came.len().min(MOST_NAMED)],
-        &gone[..gone.len().min(MOST_NAMED)]
+        &came[..came.len().min(MAX_NAMED)],
+        &gone[..gone.len().min(MAX_NAMED)]
     );
 }
 
 impl Planner {
-    /// Makes a planner that remembers nothing.
+    /// Creates a planner without any state from earlier rounds.
     #[must_use]
     pub fn new(settings: PlannerSettings) -> Self {
         Self {
             settings,
-            health: HealthBook::default(),
+            health: HealthTracker::default(),
             forecasts: Forecasts::default(),
-            pace: PaceBook::default(),
-            waits: WaitBook::default(),
+            speeds: SpeedTracker::default(),
+            waits: WaitLog::default(),
             evicted_since: BTreeMap::new(),
             departed_since: BTreeMap::new(),
             known_since: BTreeMap::new(),
-            knows_operators: true,
+            drain_orders_known: true,
             ended_since: BTreeMap::new(),
-            over_since: BTreeMap::new(),
-            expires_next: Duration::ZERO,
+            registrations_ended_since: BTreeMap::new(),
+            next_expiry_check: Duration::ZERO,
             settled: SettledPlans::default(),
-            watched: None,
+            last_checked_progress: None,
             recently_lost: RecentlyLost::default(),
             power_losses: PowerLosses::default(),
             lost_runs_checked: false,
@@ -182,27 +184,27 @@
         }
     }
 
-    /// Decides one round.
+    /// Runs one round and returns the records of its decisions.
     #[must_use]
     pub fn round(&mut self, inputs: &RoundInputs<'_>) -> Vec<KeyedRecord> {
-        self.note_workers(inputs);
-        self.note_returns(inputs);
+        self.update_known_workers(inputs);
+        self.reset_returned_workers(inputs);
         self.forecasts.update(inputs.table);
         let workers = WorkerViews::new(inputs, &self.known_since);
         let mut draft = Draft::new(inputs.table);
-        settle::take_in_ends(&mut draft, inputs, &mut self.health);
+        settle::apply_ends(&mut draft, inputs, &mut self.health);
         if !std::mem::replace(&mut self.lost_runs_checked, true) {
             lost::give_up_lost_runs(self, &mut draft, inputs);
         }
         lost::give_up_crashing(&mut draft);
         settle::cancel(&mut draft);
         settle::settle(&mut draft, inputs, &mut self.settled);
-        drain::record(&mut draft, inputs);
+        drain::record_drained_domains(&mut draft, inputs);
         evict::evict(self, &mut draft, &workers, inputs);
         evict::give_up_departed(self, &mut draft, inputs);
-        self.pace.update(&draft, inputs, &self.forecasts);
+        self.speeds.update(&draft, inputs, &self.forecasts);
         watch::move_runs(self, &mut draft, &workers, inputs);
-        let waits = if drain::check_known(self, inputs) {
+        let waits = if drain::check_orders_known(self, inputs) {
             place::place(self, &mut draft, &workers, inputs)
         } else {
             Vec::new()
@@ -213,15 +215,16 @@
         draft.into_records(self.settings.account_form)
     }
 
-    /// Returns why a step of a job waits, if it does.
+    /// Returns the reason why a step of a job waits, if it does.
     #[must_use]
     pub fn wait_reason(&self, job: &str, occurrence: u32, step: u32) -> Option<WaitReason> {
         self.waits.reason(&(job.to_owned(), occurrence, step))
     }
 
-    /// Counts a worker's silence from its return: its agent reports only after that, and would be evicted again
-    /// for what it couldn't report before (up to 38 times within 10 s of being in touch again).
-    fn note_returns(&mut self, inputs: &RoundInputs<'_>) {
+    /// Restarts the measurement of silence for workers whose eviction was taken back. Their agents report only after
+    /// that; measured from before, the workers would be evicted again for reports that their agents couldn't send (seen
+    /// up to 38 times within 10 s of the connection's return).
+    fn reset_returned_workers(&mut self, inputs: &RoundInputs<'_>) {
         let evicted = &inputs.table.evicted;
         let returned = self.evicted_since.keys().filter(|instance| !evicted.contains(*instance));
         for instance in returned {
@@ -231,7 +234,7 @@
         }
     }
 
-    fn note_lost_workers(&mut self, inputs: &RoundInputs<'_>) {
+    fn record_lost_workers(&mut self, inputs: &RoundInputs<'_>) {
         let table = inputs.table;
         let gave_notice = |instance: &InstanceId| {
             table.lives_over.get(instance).is_some_and(|over| over.gave_notice)
@@ -243,16 +246,16 @@
         self.recently_lost.note(gone.cloned(), inputs.now);
     }
 
-    fn note_workers(&mut self, inputs: &RoundInputs<'_>) {
+    fn update_known_workers(&mut self, inputs: &RoundInputs<'_>) {
         let workers = &inputs.table.workers;
         if self.known_since.keys().eq(workers.keys()) {
             return;
         }
         self.lost_runs_checked = false;
         log_changed_workers(&self.known_since, inputs.table);
-        self.note_lost_workers(inputs);
+        self.record_lost_workers(inputs);
         self.known_since.retain(|instance, _| workers.contains_key(instance));
-        self.health.keep_only(|instance| workers.contains_key(instance));
+        self.health.retain(|instance| workers.contains_key(instance));
         for instance in workers.keys() {
             self.known_since.entry(instance.clone()).or_insert(inputs.now);
         }
--- a/crates/rampbay-jobs/src/planner/allowance.rs
+++ b/crates/rampbay-jobs/src/planner/allowance.rs
@@ -1,23 +1,23 @@
-//! How much work may be thrown away so that a step can start.
+//! How much work may be lost to preemption so that a step can start.
 //!
-//! What is stopped has to be done again, so a stop is worth it only where the step is worth more.
+//! The work of a stopped run has to be done again, so a stop pays only where the step is worth more.
 //! A job is worth more the more work it holds, and urgent work is worth more for the same work.
 
 use crate::job::EpochMillis;
 
 use super::queue::WaitingStep;
 
-/// Thrown away for any urgent step that can still end in time, in thousandths of core-seconds.
+/// Work that may be lost for any urgent step that can still end in time, in thousandths of core-seconds.
 const URGENT_BASE: u64 = 200_000;
-/// The same in addition, as a share of the step's own work, in thousandths.
+/// Work that may be lost for it in addition, as a share of the step's own work, in thousandths.
 const URGENT_SHARE_PERMILLE: u64 = 1_000;
-/// Thrown away for a gang that isn't urgent, as a share of its own work, in thousandths.
+/// Work that may be lost for a gang that isn't urgent, as a share of its own work, in thousandths.
 const GANG_SHARE_PERMILLE: u64 = 150;
-/// How long a gang that isn't urgent waits for room before others are stopped for it.
-const GANG_PATIENCE_MS: u64 = 2_500;
+/// Time for which a gang that isn't urgent waits for capacity before others are stopped for it.
+const MIN_GANG_WAIT_MS: u64 = 2_500;
 
-/// Returns the work that may be thrown away for a step, in thousandths of core-seconds. Nothing may
-/// be for steps that can't end in time any more, unless they are guaranteed.
+/// Returns the work that may be lost to preemption for a step, in thousandths of core-seconds. For
+/// a step that can't end in time any more this is 0, unless the step is guaranteed.
 pub fn lost_work_allowed(waiting: &WaitingStep, wall: EpochMillis) -> u64 {
     if waiting.guaranteed {
         return u64::MAX;
@@ -28,8 +28,8 @@
     if waiting.submission.priority == 0 {
         return URGENT_BASE + share(waiting.work(), URGENT_SHARE_PERMILLE);
     }
-    let is_patient = waiting.waited_ms(wall) < GANG_PATIENCE_MS;
-    if !waiting.definition().gang || is_patient {
+    let has_waited_briefly = waiting.waited_ms(wall) < MIN_GANG_WAIT_MS;
+    if !waiting.definition().gang || has_waited_briefly {
         return 0;
     }
     share(waiting.work(), GANG_SHARE_PERMILLE)
--- a/crates/rampbay-jobs/src/planner/departure.rs
+++ b/crates/rampbay-jobs/src/planner/departure.rs
@@ -1,60 +1,59 @@
-//! Whether a run stays at a worker that has given notice.
+//! Decides whether a run stays at a worker that has given notice.
 //!
-//! A run that is stopped has thrown its work away for sure, but for what it saved; one that stays and is still there
-//! when the worker leaves has thrown that away and the time in between. So a run stays where the chance that it ends
-//! in time outweighs what it loses more otherwise: one that has just begun leaves unless it is sure to end, one that
-//! has done most of its work stays unless it is sure not to. A fixed margin of a fifth stopped gangs in their last
-//! second: of a quiet day's 66,000 core-seconds of work thrown away two such stops made most.
+//! A run that is stopped loses its work for certain, except for its checkpoint. A run that stays and is still running
+//! when the worker leaves loses that work and the time in between. So a run stays if its expected loss is no greater
+//! that way: a run that has just begun is stopped unless it is sure to end in time, a run that has done most of its
+//! work stays unless it is sure not to. A fixed margin of a fifth stopped gangs in their last second: two such stops
+//! made up most of the 66,000 core-seconds of work that were lost in a day without faults.
 
 use std::time::Duration;
 
-/// Work that a run which saves its progress has at risk: what it has done since its last checkpoint, and the start
-/// that has to come again.
-const UNSAVED_WORK: Duration = Duration::from_millis(1500);
-/// Half the width of the range in which the real rest lies around one that is told by a run's own rate: progress comes
-/// in whole percents each second, and is a tenth off for a run of ten seconds.
-const SPREAD_BY_RATE: f64 = 0.25;
-/// The same for a rest that is told by an estimate alone.
-const SPREAD_BY_ESTIMATE: f64 = 0.5;
+/// Work that a checkpointing run has at risk: the work since its last checkpoint, and the repeated start.
+const MAX_UNSAVED_WORK: Duration = Duration::from_millis(1500);
+/// Half the width of the range in which the actual remaining time lies around one computed from the run's own rate,
+/// as a share of it. Progress is reported in whole percents once a second, so it is a tenth off for a run of ten seconds.
+const RATE_SPREAD: f64 = 0.25;
+/// Half the width of this range for a remaining time that is computed from an estimate alone.
+const ESTIMATE_SPREAD: f64 = 0.5;
 
-/// What a run is expected to need still.
+/// The time that a run is still expected to need.
 #[derive(Clone, Copy, Debug)]
-pub struct Rest {
+pub struct RemainingTime {
     /// The time, in milliseconds.
     pub ms: u64,
-    /// Whether it is told by the run's own rate.
-    pub is_by_rate: bool,
+    /// Whether it is computed from the run's own rate.
+    pub is_from_rate: bool,
 }
 
-impl Rest {
-    /// Returns the chance that the run ends within a time.
-    fn chance_within(self, left_ms: u64) -> f64 {
-        let spread = if self.is_by_rate { SPREAD_BY_RATE } else { SPREAD_BY_ESTIMATE };
+impl RemainingTime {
+    /// Returns the probability that the run ends within a time, given in milliseconds.
+    fn chance_of_ending_within(self, left_ms: u64) -> f64 {
+        let spread = if self.is_from_rate { RATE_SPREAD } else { ESTIMATE_SPREAD };
         let excess = left_ms as f64 / self.ms.max(1) as f64 - 1.0;
         (0.5 + excess / (2.0 * spread)).clamp(0.0, 1.0)
     }
 }
 
-/// A run at a worker that leaves.
+/// A run at a worker that is about to leave.
 #[derive(Clone, Copy, Debug)]
-pub struct NoticedRun {
-    /// How long it has run.
+pub struct DepartingRun {
+    /// Time for which the run has gone on.
     pub ran: Duration,
-    /// Whether it saves its progress.
-    pub saves: bool,
-    /// What it is expected to need still.
-    pub rest: Rest,
-    /// When its worker leaves at the earliest, in milliseconds from now.
-    pub left_ms: u64,
+    /// Whether the run saves checkpoints.
+    pub checkpointing: bool,
+    /// Time that the run is still expected to need.
+    pub remaining: RemainingTime,
+    /// Time until its worker leaves at the earliest, in milliseconds.
+    pub notice_left_ms: u64,
 }
 
-impl NoticedRun {
-    /// Returns whether it loses less if it stays.
-    pub fn stays(&self) -> bool {
-        let at_risk = if self.saves { self.ran.min(UNSAVED_WORK) } else { self.ran };
-        let stopped = at_risk.as_millis() as f64;
-        let overtaken = stopped + self.left_ms as f64;
-        let chance = self.rest.chance_within(self.left_ms);
-        (1.0 - chance) * overtaken <= stopped
+impl DepartingRun {
+    /// Returns whether the run is expected to lose no more work if it stays than if it is stopped.
+    pub fn should_stay(&self) -> bool {
+        let at_risk = if self.checkpointing { self.ran.min(MAX_UNSAVED_WORK) } else { self.ran };
+        let lost_if_stopped = at_risk.as_millis() as f64;
+        let lost_at_departure = lost_if_stopped + self.notice_left_ms as f64;
+        let chance = self.remaining.chance_of_ending_within(self.notice_left_ms);
+        (1.0 - chance) * lost_at_departure <= lost_if_stopped
     }
 }
--- /dev/null
+++ b/crates/rampbay-jobs/src/planner/displace.rs
@@ -0,0 +1,138 @@
+//! Frees capacity for waiting steps: preempts other runs, or holds workers back from less urgent work.
+
+use crate::metrics::metrics;
+
+use super::RoundInputs;
+use super::allowance::lost_work_allowed;
+use super::draft::Draft;
+use super::fit::Need;
+use super::fleet_state::FleetState;
+use super::preempt::{Preemption, could_fit, preempt, preempt_in_rack};
+use super::progress::RunsAt;
+use super::queue::WaitingStep;
+use super::units::Units;
+
+/// Largest share of all workers that may be held for waiting gangs, in percent.
+const MAX_HELD_PERCENT: usize = 34;
+
+/// Where capacity may be freed for a step.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Scope {
+    /// In one rack.
+    OneRack,
+    /// In one rack if the step wants that and it is possible, anywhere otherwise.
+    Anywhere,
+}
+
+/// Finds the runs that would have to be stopped so that `count` tasks of a step fit.
+pub fn find_preemption(
+    fleet: &mut FleetState,
+    need: &Need<'_>,
+    count: usize,
+    scope: Scope,
+    inputs: &RoundInputs<'_>,
+) -> Option<Preemption> {
+    if fleet.infeasible_with_preemption.covers(need, count) {
+        return None;
+    }
+    let units = fleet.units.take();
+    let units = units.unwrap_or_else(|| {
+        let runs = fleet.workers.iter().map(|worker| inputs.progress.runs_at(&worker.instance));
+        let runs: Vec<RunsAt<'_>> = runs.collect();
+        Units::group(&fleet.running, runs.len(), |task| task.lost_work(&runs[task.place]))
+    });
+    let found = if !could_fit(fleet, &units, need, count) {
+        fleet.infeasible_with_preemption.note(need, count);
+        None
+    } else if scope == Scope::OneRack {
+        preempt_in_rack(fleet, &units, need, count)
+    } else {
+        preempt(fleet, &units, need, count)
+    };
+    fleet.units = Some(units);
+    found
+}
+
+/// Returns the work that may be lost for `count` tasks of a step, in thousandths of core-seconds.
+pub fn allowed_for(waiting: &WaitingStep, count: usize, inputs: &RoundInputs<'_>) -> u64 {
+    let all = lost_work_allowed(waiting, inputs.wall);
+    all / waiting.tasks.len().max(1) as u64 * count as u64
+}
+
+/// Stops the victims of a preemption unless it costs more than `allowed`, and reserves their
+/// capacity for the step. Returns whether the step will fit.
+pub fn make_room(
+    draft: &mut Draft<'_>,
+    fleet: &mut FleetState,
+    waiting: &WaitingStep,
+    need: &Need<'_>,
+    preemption: &Preemption,
+    allowed: u64,
+) -> bool {
+    if preemption.cost > allowed {
+        return false;
+    }
+    stop_victims(draft, fleet, waiting, preemption, allowed);
+    for &place in &preemption.places {
+        fleet.reserve(place, need.step, &need.key);
+    }
+    true
+}
+
+fn stop_victims(
+    draft: &mut Draft<'_>,
+    fleet: &mut FleetState,
+    waiting: &WaitingStep,
+    preemption: &Preemption,
+    allowed: u64,
+) {
+    let Some(mut units) = fleet.units.take() else { return };
+    fleet.infeasible_with_preemption.clear();
+    let priority = waiting.submission.priority;
+    for &victim in &preemption.victims {
+        let unit = &mut units.units[victim];
+        unit.is_stopped = true;
+        metrics().decided("stop_for_urgent");
+        log::info!(
+            "event=J151 run stopped for urgent work task={} for_job={} priority={priority} workspace={} guaranteed={} lost_work={} cost={} allowed={allowed}",
+            unit.first,
+            waiting.job,
+            waiting.submission.workspace,
+            waiting.guaranteed,
+            preemption.lost_work,
+            preemption.cost
+        );
+        draft.stop_unit(&unit.first);
+        for (place, held) in &unit.held {
+            fleet.add_freed_soon(*place, held);
+        }
+    }
+    fleet.units = Some(units);
+}
+
+fn max_held(fleet: &FleetState) -> usize {
+    fleet.workers.len() * MAX_HELD_PERCENT / 100
+}
+
+/// Returns whether more workers may be held for a gang.
+pub fn may_hold(fleet: &FleetState) -> bool {
+    fleet.held < max_held(fleet)
+}
+
+/// Holds the workers where a gang will fit once the less urgent runs there have ended: no less
+/// urgent work is placed on them.
+pub fn hold_workers(fleet: &mut FleetState, waiting: &WaitingStep, preemption: &Preemption) {
+    let most = max_held(fleet);
+    let mut places = preemption.places.clone();
+    places.sort_unstable();
+    places.dedup();
+    if fleet.held + places.len() > most {
+        return;
+    }
+    for place in places {
+        let worker = &mut fleet.workers[place];
+        let priority = waiting.submission.priority;
+        fleet.held += usize::from(worker.held_for.is_none());
+        worker.held_for = Some(worker.held_for.map_or(priority, |held| held.min(priority)));
+    }
+}
--- a/crates/rampbay-jobs/src/planner/draft.rs
+++ b/crates/rampbay-jobs/src/planner/draft.rs
@@ -1,4 +1,4 @@
-//! Changes of one round, over the table that they start from.
+//! The changes of one round, as an overlay over the table at its start.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use crate::record::{KeyedRecord, Record, removal};
 use crate::table::JobTable;
 
-/// Changes of one round.
+/// The changes that one round has made so far.
 pub struct Draft<'a> {
     /// The table at the round's start.
     pub table: &'a JobTable,
@@ -20,12 +20,12 @@
 }
 
 impl<'a> Draft<'a> {
-    /// Starts without changes.
+    /// Creates a draft without changes.
     pub fn new(table: &'a JobTable) -> Self {
         Self { table, changed: BTreeMap::new(), losses: BTreeMap::new(), others: Vec::new() }
     }
 
-    /// Returns the account of a job, with the changes so far.
+    /// Returns the plan of a job, with the changes so far.
     pub fn plan(&self, id: &JobId) -> Option<&JobPlan> {
         if let Some(plan) = self.changed.get(id) {
             return Some(plan);
@@ -33,7 +33,7 @@
         self.table.jobs.get(id)?.plan.as_deref()
     }
 
-    /// Returns the account of a job as the store holds it, if this round hasn't changed it.
+    /// Returns the plan of a job as the store holds it, if this round hasn't changed it.
     pub fn unchanged_plan(&self, id: &JobId) -> Option<&'a Rc<JobPlan>> {
         if self.changed.contains_key(id) {
             return None;
@@ -41,35 +41,35 @@
         self.table.jobs.get(id)?.plan.as_ref()
     }
 
-    /// Returns the account of a job, to change it.
+    /// Returns the plan of a job for changing it.
     pub fn edit(&mut self, id: &JobId) -> &mut JobPlan {
         let kept = self.table.jobs.get(id).and_then(|job| job.plan.as_deref());
         self.changed.entry(id.clone()).or_insert_with(|| kept.cloned().unwrap_or_default())
     }
 
-    /// Returns what a job has lost with its workers, with the changes so far.
+    /// Returns the runs that a job has lost with their workers, with the changes so far.
     pub fn losses(&self, id: &JobId) -> Option<&JobLosses> {
         self.losses.get(id).or_else(|| self.table.losses.get(id).map(Rc::as_ref))
     }
 
-    /// Iterates over the jobs whose losses this round has looked at to change them.
+    /// Iterates over the jobs whose losses this round has accessed for changing them.
     pub fn changed_losses(&self) -> impl Iterator<Item = &JobId> {
         self.losses.keys()
     }
 
-    /// Returns what a job has lost with its workers, to change it.
+    /// Returns the runs that a job has lost with their workers, for changing them.
     pub fn edit_losses(&mut self, id: &JobId) -> &mut JobLosses {
         let kept = self.table.losses.get(id);
         let known = || kept.map(|losses| losses.as_ref().clone()).unwrap_or_default();
         self.losses.entry(id.clone()).or_insert_with(known)
     }
 
-    /// Returns what was submitted as a job.
+    /// Returns the submission of a job.
     pub fn submission(&self, id: &JobId) -> Option<Rc<Submission>> {
         self.table.jobs.get(id).map(|job| Rc::clone(&job.submission))
     }
 
-    /// Marks a task, if it runs, to be stopped.
+    /// Marks a task to be stopped if it is running.
     pub fn stop(&mut self, id: &TaskId) {
         let Some(task) = self.edit(&id.job).task_mut(id) else { return };
         if task.status == TaskStatus::Running {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Returns all tasks that end together with this one.
+    /// Returns all tasks that end together with a task: the members of its gang, or the task alone.
     pub fn unit_of(&self, id: &TaskId) -> Vec<TaskId> {
         let is_gang = self.submission(&id.job).is_some_and(|submission| {
             submission.steps.get(id.step as usize).is_some_and(|s| s.gang)
@@ -99,7 +99,7 @@
         (0..count as u32).map(|index| TaskId { index, ..id.clone() }).collect()
     }
 
-    /// Adds a record that isn't a job's account.
+    /// Adds a record that isn't a job plan.
     pub fn add(&mut self, record: KeyedRecord) {
         self.others.push(record);
     }
@@ -109,10 +109,9 @@
         self.others.push(removal(key));
     }
 
-    /// Returns the records of all changes: accounts before the removals of ends that they hold, and losses before
-    /// the accounts that no longer name the lost runs. A leader that goes between the two leaves a loss that the
-    /// next one finds again, and counts once.
-    /// Accounts are written in the form that is wanted.
+    /// Returns the records of all changes. Plans come before the removals of the ends that they contain, and losses
+    /// before the plans that no longer name the lost runs: if a leader fails between the two, the next one finds the
+    /// loss again, and counts it once. Plans are written in the layout `wanted`.
     pub fn into_records(self, wanted: AccountForm) -> Vec<KeyedRecord> {
         let table = self.table;
         let is_new = |id: &JobId, plan: &JobPlan| {
--- a/crates/rampbay-jobs/src/planner/evict.rs
+++ b/crates/rampbay-jobs/src/planner/evict.rs
@@ -1,4 +1,4 @@
-//! Gives up the runs of workers whose agents are silent, once none of them can exist any more.
+//! Evicts workers whose agents are silent, and removes them once none of their runs can exist any more.
 
 use crate::keys::eviction_key;
 use crate::losses::LifeOver;
@@ -9,7 +9,7 @@
 use super::workers::WorkerViews;
 use super::{Planner, RoundInputs};
 
-/// Evicts workers without reports, and removes those whose eviction is old enough.
+/// Evicts workers whose agents don't report, and removes those whose eviction is old enough.
 pub fn evict(
     planner: &mut Planner,
     draft: &mut Draft<'_>,
@@ -19,12 +19,12 @@
     start_evictions(planner, draft, workers, inputs);
     planner.evicted_since.retain(|instance, _| inputs.table.evicted.contains(instance));
     for instance in &inputs.table.evicted {
-        // A planner that takes over counts from its own start: later, never earlier.
+        // A planner that takes over measures from its own start, so it acts later, never earlier.
         let since = *planner.evicted_since.entry(instance.clone()).or_insert(inputs.now);
         if inputs.now.saturating_sub(since) < planner.settings.remove_evicted_after {
             continue;
         }
-        log::warn!("event=J141 worker given up worker={instance}");
+        log::warn!("event=J141 evicted worker removed worker={instance}");
         remove_worker(draft, instance, LifeOver::default());
     }
 }
@@ -44,21 +44,21 @@
     draft.add(Record::LifeOver(instance.to_owned(), Box::new(over)).encode());
 }
 
-/// Removes workers that have said good-bye and whose agents went before they could say that it is
-/// over. Their leases are never renewed again.
+/// Removes workers that have deregistered and whose agents stopped before they could record the end
+/// of the incarnation. The leases of these workers are never renewed again.
 pub fn give_up_departed(planner: &mut Planner, draft: &mut Draft<'_>, inputs: &RoundInputs<'_>) {
     let workers = &inputs.table.workers;
     let has_departed = |instance: &str| workers.get(instance).is_some_and(|known| known.departed);
     planner.departed_since.retain(|instance, _| has_departed(instance));
     for (instance, _) in workers.iter().filter(|(_, worker)| worker.departed) {
-        // A planner that takes over counts from its own start: later, never earlier.
+        // A planner that takes over measures from its own start, so it acts later, never earlier.
         let since = *planner.departed_since.entry(instance.clone()).or_insert(inputs.now);
         let waited = inputs.now.saturating_sub(since);
         if waited < planner.settings.remove_departed_after {
             continue;
         }
         log::warn!(
-            "event=J144 departed worker given up worker={instance} waited_ms={}",
+            "event=J144 departed worker removed worker={instance} waited_ms={}",
             waited.as_millis()
         );
         remove_worker(draft, instance, LifeOver { gave_notice: true, runs: None });
--- a/crates/rampbay-jobs/src/planner/expire.rs
+++ b/crates/rampbay-jobs/src/planner/expire.rs
@@ -1,4 +1,4 @@
-//! Removes from the store what nothing needs any more: jobs that ended long ago, and ends of registrations.
+//! Removes records that are no longer needed: jobs that ended long ago, and ends of registrations.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 use super::draft::Draft;
 use super::{Planner, RoundInputs};
 
-/// Time between two looks for jobs to remove.
-const INTERVAL: Duration = Duration::from_millis(1000);
-/// How long the end of a worker's registrations is kept, and so long may one of them land late: ten times as long
-/// as the longest that a call was seen to be carried out late (12 s).
-const KEEP_OVER: Duration = Duration::from_secs(120);
-/// Jobs removed in one round, at most.
-const MOST_REMOVALS: usize = 16;
+/// Time between two checks for jobs to remove.
+const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
+/// Time for which the end of a worker's registrations is kept; a late registration is recognized for that long. It is
+/// ten times the longest delay with which a call was seen to be carried out (12 s).
+const REGISTRATION_END_RETENTION: Duration = Duration::from_secs(120);
+/// Largest number of jobs that are removed in one round.
+const MAX_REMOVALS: usize = 16;
 
-/// Removes jobs whose end this planner has known for long enough. A planner that takes over counts
-/// from its own start: later, never earlier.
+/// Removes jobs whose end this planner has known for long enough. A planner that takes over measures
+/// from its own start, so it removes them later, never earlier.
 pub fn expire(planner: &mut Planner, draft: &mut Draft<'_>, inputs: &RoundInputs<'_>) {
     let ended = inputs.table.jobs.len() - inputs.table.active.len();
-    if ended == planner.ended_since.len() && inputs.now < planner.expires_next {
+    if ended == planner.ended_since.len() && inputs.now < planner.next_expiry_check {
         return;
     }
-    planner.expires_next = inputs.now + INTERVAL;
+    planner.next_expiry_check = inputs.now + CHECK_INTERVAL;
     planner.ended_since.retain(|id, _| inputs.table.jobs.contains_key(id));
     for id in inputs.table.jobs.keys().filter(|id| !inputs.table.active.contains(*id)) {
         if !planner.ended_since.contains_key(id) {
@@ -35,15 +35,15 @@
     let old = planner.ended_since.iter().filter(|(_, since)| {
         inputs.now.saturating_sub(**since) >= planner.settings.ended_job_retention
     });
-    let old: Vec<JobId> = old.map(|(id, _)| id.clone()).take(MOST_REMOVALS).collect();
+    let old: Vec<JobId> = old.map(|(id, _)| id.clone()).take(MAX_REMOVALS).collect();
     for id in old {
         remove(draft, &id);
         planner.ended_since.remove(&id);
     }
 }
 
-/// Removes registrations that landed after their end, and ends after which none lands any more. A planner that takes
-/// over counts from its own start: later, never earlier.
+/// Removes registrations that were stored after their end, and ends after which no late registration is expected any
+/// more. A planner that takes over measures from its own start, so it removes them later, never earlier.
 pub fn expire_registrations(
     planner: &mut Planner,
     draft: &mut Draft<'_>,
@@ -54,14 +54,16 @@
         log::info!("event=J176 late registration removed worker={instance} number={number}");
         draft.remove(worker_key(instance, *number));
     }
-    let known = &mut planner.over_since;
+    let known = &mut planner.registrations_ended_since;
     if known.len() != registrations.ended().count() {
         known.retain(|instance, _| registrations.ended().any(|ended| ended == instance));
         for instance in registrations.ended() {
             known.entry(instance.clone()).or_insert(inputs.now);
         }
     }
-    let old = known.iter().filter(|(_, since)| inputs.now.saturating_sub(**since) >= KEEP_OVER);
+    let old = known
+        .iter()
+        .filter(|(_, since)| inputs.now.saturating_sub(**since) >= REGISTRATION_END_RETENTION);
     for (instance, _) in old {
         draft.remove(over_key(instance));
         draft.remove(life_key(instance));
--- a/crates/rampbay-jobs/src/planner/room.rs
+++ b/crates/rampbay-jobs/src/planner/fleet_state.rs
@@ -8,22 +8,22 @@
 use crate::record::WorkerRecord;
 
 use super::draft::Draft;
-use super::drain::keeps_off;
-use super::exhausted::Exhausted;
-use super::isolate::is_isolated;
-use super::pace::MachineSpeed;
+use super::drain::is_drained;
+use super::infeasible::InfeasibleDemands;
+use super::isolation::is_isolated;
 use super::running::RunningTask;
+use super::speed::MachineSpeed;
 use super::units::Units;
 use super::workers::{WorkerView, WorkerViews};
-use super::{Place, Planner, RoundInputs, StepKey};
+use super::{Planner, RoundInputs, StepKey, WorkerIndex};
 
 /// A worker during a round.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct WorkerState {
     /// The worker's id.
     pub instance: InstanceId,
     /// The worker.
-    pub worker: Rc<WorkerRecord>,
+    pub record: Rc<WorkerRecord>,
     /// Its rack, as a place in [`Rooms::racks`].
     pub rack: usize,
     /// What becomes free by stops under way.
@@ -35,7 +35,7 @@
     /// Whether it failed or refused lately, or is slow now.
     pub avoided: bool,
     /// Whether its agent hasn't reported since the last outage of the reports: it may be gone.
-    pub unheard: bool,
+    pub unconfirmed: bool,
     /// Priority of a gang that waits for room here; less urgent work is kept away.
     pub held_for: Option<u32>,
     /// Whether it is kept for urgent work.
@@ -44,21 +44,21 @@
 
 /// All workers and what runs there.
 #[derive(Debug, Default)]
-pub struct Rooms {
+pub struct FleetState {
     /// The workers.
-    pub rooms: Vec<Room>,
+    pub workers: Vec<WorkerState>,
     /// What is free now at each worker. Apart from the rooms, so that a trial copies little.
     pub free: Vec<Resources>,
     /// Names of the racks, sorted.
     pub racks: Vec<String>,
     /// The workers of each rack.
-    in_rack: Vec<Vec<Place>>,
+    in_rack: Vec<Vec<WorkerIndex>>,
     /// What runs.
     pub running: Vec<RunningTask>,
     /// What may be stopped; worked out once something has to be.
     pub units: Option<Units>,
     /// What each worker holds beyond what it has: its room has shrunk. What becomes free pays that off first.
-    pub owed: Vec<Resources>,
+    pub overcommit: Vec<Resources>,
     /// Runs at each worker, those that are being stopped among them.
     runs: Vec<u32>,
     /// Workers that nothing may join: a task runs there alone, or is to.
@@ -66,18 +66,18 @@
     /// How many workers are held for gangs.
     pub held: usize,
     /// What found no place in one rack.
-    pub no_rack: Exhausted,
+    pub infeasible_in_rack: InfeasibleDemands,
     /// What found no place anywhere.
-    pub no_place: Exhausted,
+    pub infeasible: InfeasibleDemands,
     /// What wouldn't fit anywhere if all that may be stopped were.
-    pub no_stops: Exhausted,
+    pub infeasible_with_preemption: InfeasibleDemands,
     /// Tasks at each worker, of the steps that limit them.
     limited: BTreeMap<StepKey, Vec<u32>>,
 }
 
-impl Rooms {
+impl FleetState {
     /// Works out the room of all workers.
-    pub fn survey(
+    pub fn new(
         planner: &Planner,
         draft: &Draft<'_>,
         workers: &WorkerViews<'_>,
@@ -87,33 +87,33 @@
             workers.views.iter().map(|view| view.record.rack().to_owned()).collect();
         racks.sort_unstable();
         racks.dedup();
-        let room = |view: &WorkerView<'_>| make_room(planner, view, &racks, inputs);
-        let mut survey = Self {
-            rooms: workers.views.iter().map(room).collect(),
+        let state = |view: &WorkerView<'_>| worker_state(planner, view, &racks, inputs);
+        let mut fleet = Self {
+            workers: workers.views.iter().map(state).collect(),
             free: workers.views.iter().map(|view| view.record.capacity).collect(),
             racks,
-            owed: vec![Resources::default(); workers.views.len()],
+            overcommit: vec![Resources::default(); workers.views.len()],
             runs: vec![0; workers.views.len()],
             closed: vec![false; workers.views.len()],
             ..Self::default()
         };
-        survey.in_rack = vec![Vec::new(); survey.racks.len()];
-        for (place, room) in survey.rooms.iter().enumerate() {
-            survey.in_rack[room.rack].push(place);
+        fleet.in_rack = vec![Vec::new(); fleet.racks.len()];
+        for (place, worker) in fleet.workers.iter().enumerate() {
+            fleet.in_rack[worker.rack].push(place);
         }
         for id in &inputs.table.active {
             let Some(submission) = draft.submission(id) else { continue };
-            survey.charge_job(draft, id, &submission, workers);
-            survey.close_for_job(draft, id, workers, inputs);
+            fleet.charge_job(draft, id, &submission, workers);
+            fleet.close_for_job(draft, id, workers, inputs);
         }
-        for place in 0..survey.rooms.len() {
-            let freed = std::mem::take(&mut survey.rooms[place].freed_soon);
-            survey.free_soon(place, &freed);
-            if survey.closed[place] {
-                survey.close(place);
+        for place in 0..fleet.workers.len() {
+            let freed = std::mem::take(&mut fleet.workers[place].freed_soon);
+            fleet.add_freed_soon(place, &freed);
+            if fleet.closed[place] {
+                fleet.close(place);
             }
         }
-        survey
+        fleet
     }
 
     fn charge_job(
@@ -129,15 +129,15 @@
                 occurrence.steps.iter().zip(&submission.steps).enumerate()
             {
                 for (index, task) in tasks.iter().enumerate().filter(|(_, task)| task.occupies()) {
-                    let Some(place) = workers.place(&task.instance) else { continue };
+                    let Some(place) = workers.index(&task.instance) else { continue };
                     let held = step.charge();
                     let missing = self.free[place].missing_for(&held);
-                    self.owed[place].give(&missing);
+                    self.overcommit[place].give(&missing);
                     self.free[place].take(&held);
                     self.runs[place] += 1;
                     self.count_limited((id, occurrence.number, number as u32), step, place);
                     if task.status == TaskStatus::Stopping {
-                        self.rooms[place].freed_soon.give(&held);
+                        self.workers[place].freed_soon.give(&held);
                         continue;
                     }
                     self.running.push(RunningTask {
@@ -161,8 +161,8 @@
     }
 
     /// Takes note that something becomes free by a stop.
-    pub fn free_soon(&mut self, place: Place, held: &Resources) {
-        self.rooms[place].freed_soon.give_less(held, &mut self.owed[place]);
+    pub fn add_freed_soon(&mut self, place: WorkerIndex, held: &Resources) {
+        self.workers[place].freed_soon.give_less(held, &mut self.overcommit[place]);
     }
 
     /// Closes the workers where runs of a job are kept apart from others.
@@ -178,42 +178,42 @@
         }
         let Some(plan) = draft.plan(id) else { return };
         for (task_id, task) in plan.tasks(id).filter(|(_, task)| task.occupies()) {
-            let Some(place) = workers.place(&task.instance) else { continue };
+            let Some(place) = workers.index(&task.instance) else { continue };
             self.closed[place] |= is_isolated(draft, &task_id, task.attempt, inputs);
         }
     }
 
     /// Lets nothing join what runs at a worker.
-    pub fn close(&mut self, place: Place) {
+    pub fn close(&mut self, place: WorkerIndex) {
         self.closed[place] = true;
         self.free[place] = Resources::default();
     }
 
     /// Returns whether nothing may join what runs at a worker.
-    pub fn is_closed(&self, place: Place) -> bool {
+    pub fn is_closed(&self, place: WorkerIndex) -> bool {
         self.closed[place]
     }
 
     /// Counts the workers that nothing may join.
-    pub fn closed(&self) -> usize {
+    pub fn closed_count(&self) -> usize {
         self.closed.iter().filter(|closed| **closed).count()
     }
 
     /// Returns whether nothing runs at a worker, and something may.
-    pub fn is_idle(&self, place: Place) -> bool {
+    pub fn is_idle(&self, place: WorkerIndex) -> bool {
         self.runs[place] == 0 && !self.closed[place]
     }
 
     /// Counts a task of a step that limits how many of its tasks a worker takes.
-    fn count_limited(&mut self, key: (&JobId, u32, u32), step: &Step, place: Place) {
+    fn count_limited(&mut self, key: (&JobId, u32, u32), step: &Step, place: WorkerIndex) {
         if step.max_per_worker > 0 {
             let key = (key.0.clone(), key.1, key.2);
-            self.limited.entry(key).or_insert_with(|| vec![0; self.rooms.len()])[place] += 1;
+            self.limited.entry(key).or_insert_with(|| vec![0; self.workers.len()])[place] += 1;
         }
     }
 
     /// Returns how many tasks of a step are at each of some workers, if the step limits that.
-    pub fn members(&self, step: &Step, key: &StepKey, places: &[Place]) -> Option<Vec<u32>> {
+    pub fn members(&self, step: &Step, key: &StepKey, places: &[WorkerIndex]) -> Option<Vec<u32>> {
         if step.max_per_worker == 0 {
             return None;
         }
@@ -223,23 +223,23 @@
 
     /// Returns how many accelerators are free at the usable workers of a rack.
     pub fn free_devices_in(&self, rack: usize) -> u64 {
-        let places = self.in_rack[rack].iter().filter(|&&place| self.rooms[place].usable);
+        let places = self.in_rack[rack].iter().filter(|&&place| self.workers[place].usable);
         places.map(|&place| self.free[place].devices).sum()
     }
 
     /// Takes one task's room at a worker.
-    pub fn occupy(&mut self, place: Place, step: &Step, key: &StepKey) {
+    pub fn occupy(&mut self, place: WorkerIndex, step: &Step, key: &StepKey) {
         self.free[place].take(&step.charge());
         self.runs[place] += 1;
         self.count_limited((&key.0, key.1, key.2), step, place);
     }
 
     /// Keeps one task's room at a worker, first out of what becomes free soon.
-    pub fn reserve(&mut self, place: Place, step: &Step, key: &StepKey) {
-        let room = &mut self.rooms[place];
+    pub fn reserve(&mut self, place: WorkerIndex, step: &Step, key: &StepKey) {
+        let worker = &mut self.workers[place];
         let free = self.free[place];
         let mut total = free;
-        total.give(&room.freed_soon);
+        total.give(&worker.freed_soon);
         total.take(&step.charge());
         // What is free now and still left belongs to others; the rest comes with the stops.
         let left = Resources {
@@ -249,44 +249,44 @@
         };
         total.take(&left);
         self.free[place] = left;
-        room.freed_soon = total;
+        worker.freed_soon = total;
         self.count_limited((&key.0, key.1, key.2), step, place);
     }
 
     /// Returns the share of the accelerators of usable workers that is in use, in percent.
     pub fn percent_used(&self) -> u64 {
-        let usable = self.rooms.iter().zip(&self.free).filter(|(room, _)| room.usable);
-        let (free, all) = usable.fold((0, 0), |(free, all), (room, left)| {
-            (free + left.devices, all + room.worker.capacity.devices)
+        let usable = self.workers.iter().zip(&self.free).filter(|(worker, _)| worker.usable);
+        let (free, all) = usable.fold((0, 0), |(free, all), (worker, left)| {
+            (free + left.devices, all + worker.record.capacity.devices)
         });
         ((all - free) * 100).checked_div(all).unwrap_or(0)
     }
 }
 
-fn make_room(
+fn worker_state(
     planner: &Planner,
     view: &WorkerView<'_>,
     racks: &[String],
     inputs: &RoundInputs<'_>,
-) -> Room {
+) -> WorkerState {
     let suspect_after = planner.settings.suspect_after;
     let rack = view.record.rack();
-    Room {
+    WorkerState {
         instance: view.instance.clone(),
         rack: racks.binary_search_by(|known| known.as_str().cmp(rack)).unwrap_or(0),
         freed_soon: Resources::default(),
         usable: !view.record.draining
-            && !keeps_off(view.record, inputs)
+            && !is_drained(view.record, inputs)
             && !planner.health.is_blocked(view.instance, inputs.now)
             && !inputs.table.evicted.contains(view.instance)
             && view.report_age < suspect_after
             && view.silent < suspect_after,
         avoided: planner.health.is_avoided(view.instance, inputs.now)
-            || planner.pace.is_slow(view.instance),
-        speed: planner.pace.machine_speed(view.instance),
-        unheard: !view.is_heard,
+            || planner.speeds.is_slow(view.instance),
+        speed: planner.speeds.machine_speed(view.instance),
+        unconfirmed: !view.has_reported,
         held_for: None,
         reserved: false,
-        worker: Rc::clone(view.record),
+        record: Rc::clone(view.record),
     }
 }
--- a/crates/rampbay-jobs/src/planner/forecast.rs
+++ b/crates/rampbay-jobs/src/planner/forecast.rs
@@ -1,25 +1,25 @@
-//! How long tasks are expected to take.
+//! Expected durations of tasks.
 //!
-//! A caller's estimate of one task may be far off, while the tasks of a queue are alike. So a queue
-//! whose estimates scatter widely is taken to guess badly, and its estimates are drawn towards their
-//! geometric mean. That needs only what the store keeps: a planner that takes over expects the same.
+//! A caller's estimate of one task may be far off, while the tasks of a queue are alike. So widely
+//! scattered estimates of a queue are taken as inaccurate, and are shrunk towards their geometric
+//! mean. This uses only data in the store, so a planner that takes over computes the same durations.
 
 use std::collections::BTreeMap;
 
 use crate::job::{QueueName, Step, Submission};
 use crate::table::JobTable;
 
-/// Estimates that a queue needs before its mean says anything.
-const FEWEST_ESTIMATES: usize = 5;
-/// Variance of the logarithm of real durations within a queue: what scatters more is bad guessing.
-const REAL_VARIANCE: f64 = 0.16;
+/// Smallest number of estimates from which a queue's mean is used.
+const MIN_ESTIMATES: usize = 5;
+/// Variance of the logarithm of actual durations within a queue; any greater variance of the estimates is taken as error.
+const EXPECTED_LOG_VARIANCE: f64 = 0.16;
 
-/// What the estimates of one queue say.
+/// Statistics of the estimates of one queue.
 #[derive(Clone, Copy, Debug)]
 struct QueueForecast {
     mean_log: f64,
-    /// How far a single estimate is believed, 0 to 1.
-    belief: f64,
+    /// Weight of a single estimate against the mean, 0 to 1.
+    own_weight: f64,
 }
 
 /// Expected durations by queue.
@@ -30,7 +30,7 @@
 }
 
 impl Forecasts {
-    /// Takes in the jobs that have come since the last round.
+    /// Recomputes the statistics if the number of jobs has changed since the last round.
     pub fn update(&mut self, table: &JobTable) {
         if self.known_jobs == table.jobs.len() {
             return;
@@ -42,7 +42,7 @@
             let logs = logs.entry(&job.submission.queue).or_default();
             logs.extend(estimates.filter(|&estimate| estimate > 0).map(|e| (e as f64).ln()));
         }
-        let enough = logs.into_iter().filter(|(_, logs)| logs.len() >= FEWEST_ESTIMATES);
+        let enough = logs.into_iter().filter(|(_, logs)| logs.len() >= MIN_ESTIMATES);
         self.queues = enough.map(|(queue, logs)| (queue.clone(), forecast(&logs))).collect();
     }
 
@@ -53,7 +53,7 @@
             return queue.mean_log.exp() as u64;
         }
         let own = (step.estimate_ms as f64).ln();
-        (queue.belief * own + (1.0 - queue.belief) * queue.mean_log).exp() as u64
+        (queue.own_weight * own + (1.0 - queue.own_weight) * queue.mean_log).exp() as u64
     }
 
     /// Returns how long each step of a job is expected to take, in milliseconds.
@@ -66,5 +66,5 @@
     let count = logs.len() as f64;
     let mean_log = logs.iter().sum::<f64>() / count;
     let variance = logs.iter().map(|log| (log - mean_log).powi(2)).sum::<f64>() / count;
-    QueueForecast { mean_log, belief: (REAL_VARIANCE / variance).min(1.0) }
+    QueueForecast { mean_log, own_weight: (EXPECTED_LOG_VARIANCE / variance).min(1.0) }
 }
--- a/crates/rampbay-jobs/src/planner/lost.rs
+++ b/crates/rampbay-jobs/src/planner/lost.rs
@@ -1,4 +1,4 @@
-//! Takes in the runs that went with their workers, and gives up tasks that crash every worker they are started on.
+//! Ends the runs whose workers were removed, and gives up tasks that crash every worker they are started on.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,28 +12,29 @@
 use crate::record::{EndReason, RunEnd};
 
 use super::draft::Draft;
-use super::settle::take_in_end;
+use super::settle::apply_end;
 use super::{Planner, RoundInputs};
 
-/// Runs that were started within this time of each other, in milliseconds, are equally young: more than the orders
-/// of one round take to get to a worker.
+/// Runs that were started within this time of each other, in milliseconds, count as equally old. It is more than the
+/// orders of one round take to reach a worker.
 const SAME_AGE_MS: u64 = 100;
-/// Units of one age at a worker of which each is more suspect than those before them. Of more, none stands out: a worker
-/// of its own for each would take a third of the fleet after a crash that has nothing to do with them.
-const MOST_YOUNGEST: usize = 2;
-/// Time within which workers that go have gone at one moment: agents notice within the second between heartbeats.
-const ONE_MOMENT: Duration = Duration::from_millis(1000);
-/// Workers that go at one moment by a common cause, such as a loss of power. Two may be two tasks that crash theirs.
+/// Largest number of units that are suspected as the youngest at a worker. If more are of the same age, none of them is:
+/// isolating each would take a third of the fleet after a crash that none of them caused.
+const MAX_YOUNGEST_UNITS: usize = 2;
+/// Time within which lost workers count as lost at once: agents notice a loss within the second between heartbeats.
+const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(1000);
+/// Number of workers lost at once from which a common cause is assumed, such as a power loss. Two workers may have been
+/// crashed by two tasks.
 const COMMON_CAUSE_WORKERS: usize = 3;
 
-/// Workers that went lately without notice, and when this planner learned of it.
+/// Workers that were recently lost without notice, and when this planner learned of it.
 #[derive(Debug, Default)]
 pub struct RecentlyLost(BTreeMap<InstanceId, Duration>);
 
 impl RecentlyLost {
-    /// Takes note that workers are gone.
+    /// Records that workers were lost, and drops those lost before [`COMMON_CAUSE_WINDOW`].
     pub fn note(&mut self, gone: impl Iterator<Item = InstanceId>, now: Duration) {
-        self.0.retain(|_, at| now.saturating_sub(*at) < ONE_MOMENT);
+        self.0.retain(|_, at| now.saturating_sub(*at) < COMMON_CAUSE_WINDOW);
         self.0.extend(gone.map(|instance| (instance, now)));
     }
 
@@ -42,20 +43,20 @@
     }
 }
 
-/// A run whose worker is gone.
+/// A run whose worker is no longer registered.
 #[derive(Clone, Debug)]
-struct Lost {
+struct OrphanedRun {
     task: TaskId,
     attempt: u32,
     instance: InstanceId,
 }
 
-/// Takes runs on workers that are gone as over, and counts each against its task.
+/// Ends the runs whose workers are no longer registered, and counts each as a loss of its task.
 pub fn give_up_lost_runs(planner: &mut Planner, draft: &mut Draft<'_>, inputs: &RoundInputs<'_>) {
-    forgive(draft, inputs);
-    let mut by_worker: BTreeMap<InstanceId, Vec<Lost>> = BTreeMap::new();
+    discard_losses_of_returned_workers(draft, inputs);
+    let mut by_worker: BTreeMap<InstanceId, Vec<OrphanedRun>> = BTreeMap::new();
     for id in &inputs.table.active {
-        for lost in lost_runs(draft, id) {
+        for lost in orphaned_runs(draft, id) {
             by_worker.entry(lost.instance.clone()).or_default().push(lost);
         }
     }
@@ -66,26 +67,26 @@
         count_losses(planner, draft, inputs, instance, lost);
     }
     if planner.recently_lost.has_common_cause() {
-        excuse(&planner.recently_lost, draft, inputs);
+        clear_common_cause(&planner.recently_lost, draft, inputs);
     }
-    planner.power_losses.forgive(draft, inputs);
+    planner.power_losses.discard_losses(draft, inputs);
     for run in by_worker.into_values().flatten() {
         give_up(draft, inputs, run);
     }
 }
 
-fn lost_runs(draft: &Draft<'_>, id: &JobId) -> Vec<Lost> {
+fn orphaned_runs(draft: &Draft<'_>, id: &JobId) -> Vec<OrphanedRun> {
     let Some(plan) = draft.plan(id) else { return Vec::new() };
     let is_lost =
         |task: &TaskPlan| task.occupies() && !draft.table.workers.contains_key(&task.instance);
     let lost = plan.tasks_where(id, is_lost).filter_map(|task| {
         let known = plan.task(&task)?;
-        Some(Lost { attempt: known.attempt, instance: known.instance.clone(), task })
+        Some(OrphanedRun { attempt: known.attempt, instance: known.instance.clone(), task })
     });
     lost.collect()
 }
 
-fn log_given_up(run: &Lost, beside: usize, inputs: &RoundInputs<'_>) {
+fn log_given_up(run: &OrphanedRun, beside: usize, inputs: &RoundInputs<'_>) {
     let report = inputs.progress.report(&run.instance, Instant::now());
     log::warn!(
         "event=J135 run given up, its worker isn't registered task={} attempt={} worker={} beside={beside} report_age_ms={} reported={}",
@@ -93,12 +94,12 @@
         run.attempt,
         run.instance,
         report.age.as_millis(),
-        report.is_heard
+        report.has_reported
     );
     metrics().decided("give_up");
 }
 
-fn give_up(draft: &mut Draft<'_>, inputs: &RoundInputs<'_>, run: Lost) {
+fn give_up(draft: &mut Draft<'_>, inputs: &RoundInputs<'_>, run: OrphanedRun) {
     let end = RunEnd {
         attempt: run.attempt,
         reason: EndReason::Lapsed,
@@ -106,17 +107,17 @@
         instance: run.instance,
         task: run.task,
     };
-    take_in_end(draft, inputs, &end);
+    apply_end(draft, inputs, &end);
 }
 
-/// Forgets losses at workers that are registered again: their lives went on.
-fn forgive(draft: &mut Draft<'_>, inputs: &RoundInputs<'_>) {
+/// Discards losses at workers that are registered again, since their incarnations go on.
+fn discard_losses_of_returned_workers(draft: &mut Draft<'_>, inputs: &RoundInputs<'_>) {
     let workers = &inputs.table.workers;
     let is_back = |instance: &str| workers.contains_key(instance);
     for (id, losses) in &inputs.table.losses {
         if losses.iter().any(|lost| is_back(&lost.instance)) {
-            log::info!("event=J139 loss forgiven, its worker is back job={id}");
-            draft.edit_losses(id).forgive(is_back);
+            log::info!("event=J139 losses discarded, the worker is registered again job={id}");
+            draft.edit_losses(id).discard(is_back);
         }
     }
 }
@@ -127,7 +128,7 @@
     draft: &mut Draft<'_>,
     inputs: &RoundInputs<'_>,
     instance: &InstanceId,
-    lost: &[Lost],
+    lost: &[OrphanedRun],
 ) {
     let over = inputs.table.lives_over.get(instance);
     if over.is_some_and(|over| over.gave_notice) {
@@ -136,18 +137,18 @@
     let begun = over.and_then(|over| over.runs.as_deref());
     let youngest = begun.and_then(|runs| youngest_age_ms(draft, runs));
     let node = inputs.table.agent_of(instance).cloned().unwrap_or_default();
-    let may_have_begun = |run: &&Lost| begun.is_none_or(|runs| find(runs, run).is_some());
-    let begun_here: Vec<&Lost> = lost.iter().filter(may_have_begun).collect();
+    let may_have_begun = |run: &&OrphanedRun| begun.is_none_or(|runs| find(runs, run).is_some());
+    let begun_here: Vec<&OrphanedRun> = lost.iter().filter(may_have_begun).collect();
     let units: BTreeSet<(JobId, UnitKey)> =
         begun_here.iter().map(|run| unit_of(draft, &run.task)).collect();
-    // Runs that no account names any more stand beside the others all the same.
+    // Runs that no plan names any more ran beside the others nevertheless.
     let others = begun.map_or(0, |runs| runs.len().saturating_sub(begun_here.len()));
     let is_alone = begun.is_some() && units.len() == 1 && others == 0;
     for run in begun_here {
         let last = begun.and_then(|runs| find(runs, run));
         let age_ms = last.map(|last| last.age_ms);
         let is_youngest = age_ms.zip(youngest).is_some_and(|(age, most)| age <= most);
-        let is_proof = is_alone && last.is_some_and(InFlightRun::went_soon);
+        let is_proof = is_alone && last.is_some_and(InFlightRun::ended_soon_after_start);
         let (id, unit) = unit_of(draft, &run.task);
         let lost_run = LostRun {
             attempt: run.attempt,
@@ -172,56 +173,57 @@
     }
 }
 
-/// Returns up to which age a run stands out as the youngest, in milliseconds; `None` where too many are of one age.
+/// Returns the age up to which a run counts as the youngest, in milliseconds; `None` if too many are of that age.
 fn youngest_age_ms(draft: &Draft<'_>, runs: &[InFlightRun]) -> Option<u64> {
     let age_ms = runs.iter().map(|run| run.age_ms).min()? + SAME_AGE_MS;
     let youngest = runs.iter().filter(|run| run.age_ms <= age_ms);
     let units: BTreeSet<(JobId, UnitKey)> = youngest.map(|run| unit_of(draft, &run.task)).collect();
-    (units.len() <= MOST_YOUNGEST).then_some(age_ms)
+    (units.len() <= MAX_YOUNGEST_UNITS).then_some(age_ms)
 }
 
-fn find<'a>(runs: &'a [InFlightRun], lost: &Lost) -> Option<&'a InFlightRun> {
+fn find<'a>(runs: &'a [InFlightRun], lost: &OrphanedRun) -> Option<&'a InFlightRun> {
     runs.iter().find(|run| run.task == lost.task && run.attempt == lost.attempt)
 }
 
-/// Returns the job of a task, and what is suspected together with it.
+/// Returns the job of a task, and the unit (task or gang) by which its losses are counted.
 pub fn unit_of(draft: &Draft<'_>, task: &TaskId) -> (JobId, UnitKey) {
     let submission = draft.submission(&task.job);
     let step = submission.as_ref().and_then(|known| known.steps.get(task.step as usize));
     (task.job.clone(), UnitKey::of(task, step.is_some_and(|step| step.gang)))
 }
 
-/// Takes note of a common cause in all losses of this moment, also those that were counted before it showed.
-fn excuse(lost: &RecentlyLost, draft: &mut Draft<'_>, inputs: &RoundInputs<'_>) {
+/// Clears the suspicion of all recent losses, which have a common cause, including those that were counted before
+/// the cause was recognized.
+fn clear_common_cause(lost: &RecentlyLost, draft: &mut Draft<'_>, inputs: &RoundInputs<'_>) {
     let is_recent = |instance: &str| lost.0.contains_key(instance);
     for id in &inputs.table.active {
-        let is_concerned = draft
+        let is_affected = draft
             .losses(id)
             .is_some_and(|losses| losses.iter().any(|run| is_recent(&run.instance)));
-        if !is_concerned {
+        if !is_affected {
             continue;
         }
         let units = draft.edit_losses(id).0.values_mut().flat_map(|unit| &mut unit.0);
-        units.filter(|run| is_recent(&run.instance)).for_each(LostRun::excuse);
+        units.filter(|run| is_recent(&run.instance)).for_each(LostRun::clear_suspicion);
     }
 }
 
-/// Gives up the tasks and gangs whose losses speak against them. A member that is still being stopped is looked at
-/// again: its gang doesn't start before.
+/// Gives up the tasks and gangs whose losses show that they crash their workers. A unit that is still being stopped is
+/// checked again in later rounds; its gang doesn't start before.
 pub fn give_up_crashing(draft: &mut Draft<'_>) {
     let table = draft.table;
     let known = table.losses.keys().chain(draft.changed_losses());
     let ids: BTreeSet<JobId> = known.filter(|id| table.active.contains(*id)).cloned().collect();
     for id in ids {
         let Some(losses) = draft.losses(&id) else { continue };
-        let convicted = losses.0.iter().filter(|(_, unit)| unit.is_convicted());
-        let convicted: Vec<UnitKey> = convicted.map(|(key, _)| key.clone()).collect();
-        convicted.iter().for_each(|unit| judge(draft, &id, unit));
+        let crashing = losses.0.iter().filter(|(_, unit)| unit.should_give_up());
+        let crashing: Vec<UnitKey> = crashing.map(|(key, _)| key.clone()).collect();
+        crashing.iter().for_each(|unit| give_up_unit(draft, &id, unit));
     }
 }
 
-/// Gives up a task, or a gang by its first member, once it has no run.
-fn judge(draft: &mut Draft<'_>, id: &JobId, unit: &UnitKey) {
+/// Gives up a task, or a gang by its first member, if it has no run.
+fn give_up_unit(draft: &mut Draft<'_>, id: &JobId, unit: &UnitKey) {
     let Some(losses) = draft.losses(id).and_then(|losses| losses.0.get(unit)) else { return };
     let task =
         TaskId { job: id.clone(), occurrence: unit.occurrence, step: unit.step, index: unit.index };
--- a/crates/rampbay-jobs/src/planner/place.rs
+++ b/crates/rampbay-jobs/src/planner/place.rs
@@ -1,26 +1,26 @@
-//! Starts what waits where it fits.
+//! Assigns waiting tasks to workers.
 
 use crate::account::{JobPlan, JobStatus, Occurrence, TaskStatus};
 use crate::job::{Checkpoint, InstanceId};
 use crate::losses::Isolation;
 use crate::metrics::metrics;
 
+use super::displace::{Scope, allowed_for, find_preemption, hold_workers, make_room, may_hold};
 use super::draft::Draft;
-use super::gang::{Need, Trial, place_all, place_in_rack};
-use super::isolate::{Part, Tried, find_apart, parts};
-use super::make_room::{Within, allowed_for, find_room, hold_room, make_room, may_hold};
+use super::fit::{Need, Trial, place_all, place_in_rack};
+use super::fleet_state::FleetState;
+use super::isolation::{IsolatedPlacement, StepPart, place_isolated, split_by_isolation};
 use super::queue::{WaitingStep, waiting_steps};
-use super::rack::insists_on_rack;
+use super::rack::requires_one_rack;
 use super::reserve::{choose_reserve, may_use_reserve};
-use super::room::Rooms;
 use super::waits::{Wait, WaitReason};
 use super::workers::WorkerViews;
-use super::{Place, Planner, RoundInputs};
+use super::{Planner, RoundInputs, WorkerIndex};
 
-/// How long a task waits for a worker near its data.
+/// Time for which a task waits for a worker near its data.
 const WAIT_FOR_DATA_MS: u64 = 3000;
 
-/// Places what waits where it fits. Returns what goes on waiting, and why.
+/// Assigns waiting tasks to the workers where they fit. Returns the steps that go on waiting, and why.
 pub fn place(
     planner: &Planner,
     draft: &mut Draft<'_>,
@@ -32,60 +32,62 @@
         return Vec::new();
     }
     let mut waits = Vec::new();
-    let mut rooms = Rooms::survey(planner, draft, workers, inputs);
-    choose_reserve(&mut rooms);
-    let mut parts: Vec<Part<'_>> = waiting.iter().flat_map(|step| parts(draft, step)).collect();
-    // What has lost most goes first among what is as urgent: it holds up nothing but an idle worker, and finds one the
-    // more rarely the busier the others are. Before more urgent work it would be stopped for that, again and again.
+    let mut fleet = FleetState::new(planner, draft, workers, inputs);
+    choose_reserve(&mut fleet);
+    let mut parts: Vec<StepPart<'_>> =
+        waiting.iter().flat_map(|step| split_by_isolation(draft, step)).collect();
+    // Among parts of the same urgency, tasks with the most losses go first: each takes only an idle worker, and would
+    // rarely find one after the others were placed. Placed before more urgent work, they would be stopped for it again
+    // and again.
     parts.sort_by_key(|part| (part.waiting.urgency(), part.isolation != Isolation::First));
     for part in &parts {
-        waits.extend(place_part(draft, &mut rooms, part, inputs));
+        waits.extend(place_part(draft, &mut fleet, part, inputs));
     }
     waits
 }
 
 fn place_part(
     draft: &mut Draft<'_>,
-    rooms: &mut Rooms,
-    part: &Part<'_>,
+    fleet: &mut FleetState,
+    part: &StepPart<'_>,
     inputs: &RoundInputs<'_>,
 ) -> Option<Wait> {
     let step = part.waiting.as_ref();
     let uses_reserve = may_use_reserve(step, inputs.wall) || part.isolation == Isolation::First;
     let need = Need::of(step, failed_workers(draft, step), uses_reserve);
     if part.isolation != Isolation::None {
-        match find_apart(draft, rooms, part, &need, inputs) {
-            Tried::Found(places) => {
-                start_apart(draft, rooms, step, &need, &places);
+        match place_isolated(draft, fleet, part, &need, inputs) {
+            IsolatedPlacement::Found(places) => {
+                start_isolated(draft, fleet, step, &need, &places);
                 return None;
             }
-            Tried::Waits => {
+            IsolatedPlacement::Wait => {
                 return Some(Wait::new(step, step.tasks.len(), WaitReason::NoIdleWorker, inputs));
             }
-            Tried::Beside => {}
+            IsolatedPlacement::Shared => {}
         }
     }
     if need.step.gang {
-        place_gang(draft, rooms, step, &need, inputs)
+        place_gang(draft, fleet, step, &need, inputs)
     } else {
-        place_tasks(draft, rooms, step, &need, inputs)
+        place_tasks(draft, fleet, step, &need, inputs)
     }
 }
 
-fn start_apart(
+fn start_isolated(
     draft: &mut Draft<'_>,
-    rooms: &mut Rooms,
+    fleet: &mut FleetState,
     waiting: &WaitingStep,
     need: &Need<'_>,
-    places: &[Place],
+    places: &[WorkerIndex],
 ) {
     if need.step.gang {
-        start_gang(draft, rooms, waiting, need, places);
+        start_gang(draft, fleet, waiting, need, places);
         return;
     }
     for (&index, &place) in waiting.tasks.iter().zip(places) {
-        rooms.occupy(place, need.step, &need.key);
-        start_task(draft, waiting, index, &rooms.rooms[place].instance, None);
+        fleet.occupy(place, need.step, &need.key);
+        start_task(draft, waiting, index, &fleet.workers[place].instance, None);
     }
 }
 
@@ -98,7 +100,7 @@
 
 fn place_gang(
     draft: &mut Draft<'_>,
-    rooms: &mut Rooms,
+    fleet: &mut FleetState,
     waiting: &WaitingStep,
     need: &Need<'_>,
     inputs: &RoundInputs<'_>,
@@ -106,107 +108,118 @@
     let count = waiting.tasks.len();
     let allowed = allowed_for(waiting, count, inputs);
     if need.step.same_rack && count > 1 {
-        if let Some(places) = find_rack(rooms, need, count) {
-            start_gang(draft, rooms, waiting, need, &places);
+        if let Some(places) = find_in_rack(fleet, need, count) {
+            start_gang(draft, fleet, waiting, need, &places);
             return None;
         }
-        // Spread over racks it would hold its room several times as long, and end late.
-        let insists = insists_on_rack(waiting, rooms, need, inputs);
-        let in_rack = if allowed > 0 || (insists && may_hold(rooms)) {
-            find_room(rooms, need, count, Within::OneRack, inputs)
+        // Spread over racks, the gang would hold its resources several times as long, and end late.
+        let requires_rack = requires_one_rack(waiting, fleet, need, inputs);
+        let in_rack = if allowed > 0 || (requires_rack && may_hold(fleet)) {
+            find_preemption(fleet, need, count, Scope::OneRack, inputs)
         } else {
             None
         };
         if let Some(found) = &in_rack
             && allowed > 0
-            && make_room(draft, rooms, waiting, need, found, allowed)
+            && make_room(draft, fleet, waiting, need, found, allowed)
         {
             return Some(Wait::new(waiting, count, WaitReason::StopsUnderWay, inputs));
         }
-        if insists {
+        if requires_rack {
             if let Some(found) = &in_rack {
-                hold_room(rooms, waiting, found);
+                hold_workers(fleet, waiting, found);
             }
             return Some(Wait::new(waiting, count, WaitReason::NoRack, inputs));
         }
     }
-    if let Some(places) = find_places(rooms, need, count) {
-        start_gang(draft, rooms, waiting, need, &places);
+    if let Some(places) = find_anywhere(fleet, need, count) {
+        start_gang(draft, fleet, waiting, need, &places);
         return None;
     }
-    let is_of_use = allowed > 0 || may_hold(rooms);
-    if is_of_use && let Some(found) = find_room(rooms, need, count, Within::Anywhere, inputs) {
-        if allowed > 0 && make_room(draft, rooms, waiting, need, &found, allowed) {
+    let may_displace = allowed > 0 || may_hold(fleet);
+    if may_displace
+        && let Some(found) = find_preemption(fleet, need, count, Scope::Anywhere, inputs)
+    {
+        if allowed > 0 && make_room(draft, fleet, waiting, need, &found, allowed) {
             return Some(Wait::new(waiting, count, WaitReason::StopsUnderWay, inputs));
         }
-        hold_room(rooms, waiting, &found);
+        hold_workers(fleet, waiting, &found);
     }
     Some(Wait::new(waiting, count, WaitReason::NoRoom, inputs))
 }
 
-/// Finds places for a gang in one rack.
-fn find_rack(rooms: &mut Rooms, need: &Need<'_>, count: usize) -> Option<Vec<Place>> {
-    if rooms.no_rack.holds(need, count) || rooms.no_place.holds(need, count) {
+/// Finds workers for a gang in one rack.
+fn find_in_rack(fleet: &mut FleetState, need: &Need<'_>, count: usize) -> Option<Vec<WorkerIndex>> {
+    if fleet.infeasible_in_rack.covers(need, count) || fleet.infeasible.covers(need, count) {
         return None;
     }
-    let found = place_in_rack(rooms, need, count);
+    let found = place_in_rack(fleet, need, count);
     if found.is_none() {
-        rooms.no_rack.note(need, count);
+        fleet.infeasible_in_rack.note(need, count);
     }
     found
 }
 
-/// Finds places for a gang anywhere.
-fn find_places(rooms: &mut Rooms, need: &Need<'_>, count: usize) -> Option<Vec<Place>> {
-    if rooms.no_place.holds(need, count) {
+/// Finds workers for a gang in any racks.
+fn find_anywhere(
+    fleet: &mut FleetState,
+    need: &Need<'_>,
+    count: usize,
+) -> Option<Vec<WorkerIndex>> {
+    if fleet.infeasible.covers(need, count) {
         return None;
     }
-    let found = place_all(rooms, need, count);
+    let found = place_all(fleet, need, count);
     if found.is_none() {
-        rooms.no_place.note(need, count);
+        fleet.infeasible.note(need, count);
     }
     found
 }
 
-/// Finds places for as many tasks of a step as fit.
-fn find_most(rooms: &mut Rooms, need: &Need<'_>, waited_ms: u64, count: usize) -> Vec<Place> {
-    if rooms.no_place.holds(need, 1) {
+/// Finds workers for as many tasks of a step as fit, up to `count`.
+fn find_up_to(
+    fleet: &mut FleetState,
+    need: &Need<'_>,
+    waited_ms: u64,
+    count: usize,
+) -> Vec<WorkerIndex> {
+    if fleet.infeasible.covers(need, 1) {
         return Vec::new();
     }
-    let places = places_near_data(rooms, need, waited_ms);
-    let found = Trial::new(rooms, need, &places).place_most(count);
-    if found.is_empty() && places.len() == need.allowed(rooms).len() {
-        rooms.no_place.note(need, 1);
+    let places = places_near_data(fleet, need, waited_ms);
+    let found = Trial::new(fleet, need, &places).place_up_to(count);
+    if found.is_empty() && places.len() == need.eligible(fleet).len() {
+        fleet.infeasible.note(need, 1);
     }
     found
 }
 
 fn place_tasks(
     draft: &mut Draft<'_>,
-    rooms: &mut Rooms,
+    fleet: &mut FleetState,
     waiting: &WaitingStep,
     need: &Need<'_>,
     inputs: &RoundInputs<'_>,
 ) -> Option<Wait> {
-    let taken = find_most(rooms, need, waiting.waited_ms(inputs.wall), waiting.tasks.len());
+    let taken = find_up_to(fleet, need, waiting.waited_ms(inputs.wall), waiting.tasks.len());
     for (&index, &place) in waiting.tasks.iter().zip(&taken) {
-        rooms.occupy(place, need.step, &need.key);
-        start_task(draft, waiting, index, &rooms.rooms[place].instance, None);
+        fleet.occupy(place, need.step, &need.key);
+        start_task(draft, waiting, index, &fleet.workers[place].instance, None);
     }
     let left = &waiting.tasks[taken.len()..];
     if left.is_empty() {
         return None;
     }
-    // As many as possible: what doesn't fit yet must not keep the others from starting.
-    let is_made = waiting.is_urgent()
-        && left.iter().all(|_| make_room_for_one(draft, rooms, waiting, need, inputs));
-    let reason = if is_made { WaitReason::StopsUnderWay } else { WaitReason::NoRoom };
+    // As many tasks start as possible; those that don't fit yet mustn't delay the others.
+    let will_fit = waiting.is_urgent()
+        && left.iter().all(|_| preempt_for_one(draft, fleet, waiting, need, inputs));
+    let reason = if will_fit { WaitReason::StopsUnderWay } else { WaitReason::NoRoom };
     Some(Wait::new(waiting, left.len(), reason, inputs))
 }
 
-fn make_room_for_one(
+fn preempt_for_one(
     draft: &mut Draft<'_>,
-    rooms: &mut Rooms,
+    fleet: &mut FleetState,
     waiting: &WaitingStep,
     need: &Need<'_>,
     inputs: &RoundInputs<'_>,
@@ -215,28 +228,29 @@
     if allowed == 0 {
         return false;
     }
-    let found = find_room(rooms, need, 1, Within::Anywhere, inputs);
-    found.is_some_and(|found| make_room(draft, rooms, waiting, need, &found, allowed))
+    let found = find_preemption(fleet, need, 1, Scope::Anywhere, inputs);
+    found.is_some_and(|found| make_room(draft, fleet, waiting, need, &found, allowed))
 }
 
-/// Lists the workers where the tasks of a step may go now: near their data, unless they have waited
-/// long or no worker there may run them.
-fn places_near_data(rooms: &Rooms, need: &Need<'_>, waited_ms: u64) -> Vec<Place> {
+/// Lists the workers where the tasks of a step may be placed now: those near their data, or all
+/// eligible workers if the tasks have waited long or no worker near the data is eligible.
+fn places_near_data(fleet: &FleetState, need: &Need<'_>, waited_ms: u64) -> Vec<WorkerIndex> {
     let rack = &need.step.data_rack;
     if rack.is_empty() || waited_ms > WAIT_FOR_DATA_MS {
-        return need.allowed(rooms).to_vec();
+        return need.eligible(fleet).to_vec();
     }
-    let near = need.allowed(rooms).iter().copied();
-    let near: Vec<Place> = near.filter(|&place| rooms.rooms[place].worker.rack() == rack).collect();
-    if near.is_empty() { need.allowed(rooms).to_vec() } else { near }
+    let near = need.eligible(fleet).iter().copied();
+    let near: Vec<WorkerIndex> =
+        near.filter(|&place| fleet.workers[place].record.rack() == rack).collect();
+    if near.is_empty() { need.eligible(fleet).to_vec() } else { near }
 }
 
 fn start_gang(
     draft: &mut Draft<'_>,
-    rooms: &mut Rooms,
+    fleet: &mut FleetState,
     waiting: &WaitingStep,
     need: &Need<'_>,
-    places: &[Place],
+    places: &[WorkerIndex],
 ) {
     let plan = draft.plan(&waiting.job);
     let members = waiting.tasks.iter().filter_map(|&index| plan?.task(&waiting.task(index)));
@@ -244,9 +258,9 @@
     let attempt = members.iter().map(|task| task.attempt).max().unwrap_or(0) + 1;
     let checkpoint = members.iter().map(|task| task.checkpoint.clone()).max().unwrap_or_default();
     for (&index, &place) in waiting.tasks.iter().zip(places) {
-        rooms.occupy(place, need.step, &need.key);
-        let joint = Some((attempt, checkpoint.clone()));
-        start_task(draft, waiting, index, &rooms.rooms[place].instance, joint);
+        fleet.occupy(place, need.step, &need.key);
+        let gang_run = Some((attempt, checkpoint.clone()));
+        start_task(draft, waiting, index, &fleet.workers[place].instance, gang_run);
     }
 }
 
@@ -255,16 +269,16 @@
     waiting: &WaitingStep,
     index: u32,
     instance: &str,
-    joint: Option<(u32, Checkpoint)>,
+    gang_run: Option<(u32, Checkpoint)>,
 ) {
     let id = waiting.task(index);
     let plan = draft.edit(&waiting.job);
-    open_until(plan, waiting);
+    open_occurrences_up_to(plan, waiting);
     plan.status = JobStatus::Running;
     let Some(task) = plan.task_mut(&id) else { return };
     task.status = TaskStatus::Running;
     task.attempt += 1;
-    if let Some((attempt, checkpoint)) = joint {
+    if let Some((attempt, checkpoint)) = gang_run {
         task.attempt = attempt;
         task.checkpoint = checkpoint;
     }
@@ -278,8 +292,8 @@
     );
 }
 
-/// Opens occurrences up to the one that starts.
-fn open_until(plan: &mut JobPlan, waiting: &WaitingStep) {
+/// Opens the occurrences of a job up to the one that starts.
+fn open_occurrences_up_to(plan: &mut JobPlan, waiting: &WaitingStep) {
     while plan.next_occurrence <= waiting.occurrence {
         plan.open.push(Occurrence::unbegun(&waiting.submission, plan.next_occurrence));
         plan.next_occurrence += 1;
--- a/crates/rampbay-jobs/src/planner/preempt.rs
+++ b/crates/rampbay-jobs/src/planner/preempt.rs
@@ -6,10 +6,10 @@
 use crate::job::Resources;
 use crate::metrics::metrics;
 
-use super::Place;
-use super::gang::{Need, by_rack};
-use super::pace::MachineSpeed;
-use super::room::Rooms;
+use super::WorkerIndex;
+use super::fit::{Need, by_rack};
+use super::fleet_state::FleetState;
+use super::speed::MachineSpeed;
 use super::units::{UnitIndex, Units};
 
 /// What to stop, and where the tasks will then fit.
@@ -18,7 +18,7 @@
     /// The units to stop.
     pub victims: Vec<UnitIndex>,
     /// Workers, one for each task.
-    pub places: Vec<Place>,
+    pub places: Vec<WorkerIndex>,
     /// Work that the stops throw away, in thousandths of core-seconds.
     pub lost_work: u64,
     /// The same, more for more urgent work and for what was started often.
@@ -27,13 +27,13 @@
 
 /// Finds the cheapest stops of less urgent work after which `count` tasks fit into one rack.
 pub fn preempt_in_rack(
-    rooms: &Rooms,
+    fleet: &FleetState,
     units: &Units,
     need: &Need<'_>,
     count: usize,
 ) -> Option<Preemption> {
-    let racks = by_rack(rooms, need);
-    let searches = racks.iter().map(|(_, places)| Search::new(rooms, units, need, places));
+    let racks = by_rack(fleet, need);
+    let searches = racks.iter().map(|(_, places)| Search::new(fleet, units, need, places));
     let could_hold = searches.filter(|search| search.could_hold(count));
     let options = could_hold.filter_map(|search| search.place_all(count));
     options.min_by_key(|preemption| preemption.cost)
@@ -41,22 +41,27 @@
 
 /// Finds the cheapest stops of less urgent work after which `count` tasks fit, in one rack if the
 /// step wants that and it can be. They are known to fit if all that may be stopped is ([`could_fit`]).
-pub fn preempt(rooms: &Rooms, units: &Units, need: &Need<'_>, count: usize) -> Option<Preemption> {
+pub fn preempt(
+    fleet: &FleetState,
+    units: &Units,
+    need: &Need<'_>,
+    count: usize,
+) -> Option<Preemption> {
     let wants_rack = need.step.same_rack && count > 1;
-    let in_rack = if wants_rack { preempt_in_rack(rooms, units, need, count) } else { None };
-    in_rack.or_else(|| Search::new(rooms, units, need, need.allowed(rooms)).place_all(count))
+    let in_rack = if wants_rack { preempt_in_rack(fleet, units, need, count) } else { None };
+    in_rack.or_else(|| Search::new(fleet, units, need, need.eligible(fleet)).place_all(count))
 }
 
 /// Returns whether `count` tasks would fit if all that may be stopped for them were.
-pub fn could_fit(rooms: &Rooms, units: &Units, need: &Need<'_>, count: usize) -> bool {
-    Search::new(rooms, units, need, need.allowed(rooms)).could_hold(count)
+pub fn could_fit(fleet: &FleetState, units: &Units, need: &Need<'_>, count: usize) -> bool {
+    Search::new(fleet, units, need, need.eligible(fleet)).could_hold(count)
 }
 
 /// How badly a worker suits: avoided, not heard of, slower, cost of the stops, accelerators free.
 type Rank = (bool, bool, bool, u64, u64);
 
 /// What one task costs at a worker.
-struct Offer {
+struct Candidate {
     rank: Rank,
     stops: Vec<UnitIndex>,
 }
@@ -64,49 +69,54 @@
 /// Places task after task, each where the stops that it needs cost least. All that it holds is by the index of a place
 /// among those that it searches.
 struct Search<'a> {
-    rooms: &'a Rooms,
+    fleet: &'a FleetState,
     units: &'a Units,
     need: &'a Need<'a>,
     /// The places, in rising order.
-    places: &'a [Place],
+    places: &'a [WorkerIndex],
     /// What is free at each place, now or by stops that are under way or chosen.
     free: Vec<Resources>,
     /// What each place holds beyond what it has.
-    owed: Vec<Resources>,
+    overcommit: Vec<Resources>,
     members: Option<Vec<u32>>,
-    chosen: BTreeSet<UnitIndex>,
+    victims: BTreeSet<UnitIndex>,
     /// Offers of the places, worked out once and again after each change there.
-    offers: Vec<Option<Offer>>,
+    candidates: Vec<Option<Candidate>>,
     /// The ranks of the offers, the best first, and of some that have changed since. Looked through for each task, the
     /// offers were two fifths of a round on 2,500 workers: the width of gangs times the size of the fleet.
     ranked: BinaryHeap<Reverse<(Rank, usize)>>,
 }
 
 impl<'a> Search<'a> {
-    fn new(rooms: &'a Rooms, units: &'a Units, need: &'a Need<'a>, places: &'a [Place]) -> Self {
+    fn new(
+        fleet: &'a FleetState,
+        units: &'a Units,
+        need: &'a Need<'a>,
+        places: &'a [WorkerIndex],
+    ) -> Self {
         metrics().workers_searched.inc_by(places.len() as u64);
         let free = places.iter().map(|&place| {
-            let mut free = rooms.free[place];
-            free.give(&rooms.rooms[place].freed_soon);
+            let mut free = fleet.free[place];
+            free.give(&fleet.workers[place].freed_soon);
             free
         });
-        let owed = places.iter().map(|&place| rooms.owed[place]).collect();
-        let members = rooms.members(need.step, &need.key, places);
+        let overcommit = places.iter().map(|&place| fleet.overcommit[place]).collect();
+        let members = fleet.members(need.step, &need.key, places);
         Self {
-            rooms,
+            fleet,
             units,
             need,
             places,
             free: free.collect(),
-            owed,
+            overcommit,
             members,
-            chosen: BTreeSet::new(),
-            offers: Vec::new(),
+            victims: BTreeSet::new(),
+            candidates: Vec::new(),
             ranked: BinaryHeap::new(),
         }
     }
 
-    fn there(&self, index: usize) -> u32 {
+    fn present(&self, index: usize) -> u32 {
         self.members.as_ref().map_or(0, |members| members[index])
     }
 
@@ -114,11 +124,14 @@
     fn could_hold(&self, count: usize) -> bool {
         let mut left = count as u64;
         for (index, &place) in self.places.iter().enumerate() {
-            let (mut free, mut owed) = (self.free[index], self.owed[index]);
+            let (mut free, mut overcommit) = (self.free[index], self.overcommit[index]);
             for unit in self.units.at(place, self.need.priority) {
-                self.units.held_at(unit, place).for_each(|held| free.give_less(held, &mut owed));
+                self.units
+                    .held_at(unit, place)
+                    .for_each(|held| free.give_less(held, &mut overcommit));
             }
-            left = left.saturating_sub(u64::from(self.need.most_at(&free, self.there(index))));
+            left =
+                left.saturating_sub(u64::from(self.need.max_tasks_at(&free, self.present(index))));
             if left == 0 {
                 return true;
             }
@@ -128,29 +141,29 @@
 
     /// Finds places for `count` tasks, or for none.
     fn place_all(mut self, count: usize) -> Option<Preemption> {
-        let places: Option<Vec<Place>> = (0..count).map(|_| self.place_one()).collect();
+        let places: Option<Vec<WorkerIndex>> = (0..count).map(|_| self.place_one()).collect();
         let places = places?;
         let units = &self.units.units;
-        let victims: Vec<UnitIndex> = self.chosen.into_iter().collect();
+        let victims: Vec<UnitIndex> = self.victims.into_iter().collect();
         let lost_work = victims.iter().map(|&unit| units[unit].lost_work).sum();
         let cost = victims.iter().map(|&unit| units[unit].cost).sum();
         Some(Preemption { victims, places, lost_work, cost })
     }
 
-    fn place_one(&mut self) -> Option<Place> {
-        if self.offers.is_empty() {
+    fn place_one(&mut self) -> Option<WorkerIndex> {
+        if self.candidates.is_empty() {
             metrics().workers_searched.inc_by(self.places.len() as u64);
-            self.offers.resize_with(self.places.len(), || None);
-            (0..self.places.len()).for_each(|index| self.renew_offer(index));
+            self.candidates.resize_with(self.places.len(), || None);
+            (0..self.places.len()).for_each(|index| self.update_candidate(index));
         }
-        let (best, stops) = self.take_best()?;
+        let (best, stops) = self.take_cheapest()?;
         let mut changed = vec![best];
         for unit in stops {
-            self.chosen.insert(unit);
+            self.victims.insert(unit);
             for (at, held) in &self.units.units[unit].held {
                 // What a gang holds elsewhere doesn't help here.
                 let Ok(index) = self.places.binary_search(at) else { continue };
-                self.free[index].give_less(held, &mut self.owed[index]);
+                self.free[index].give_less(held, &mut self.overcommit[index]);
                 changed.push(index);
             }
         }
@@ -161,53 +174,53 @@
         changed.sort_unstable();
         changed.dedup();
         metrics().workers_searched.inc_by(changed.len() as u64);
-        changed.into_iter().for_each(|index| self.renew_offer(index));
+        changed.into_iter().for_each(|index| self.update_candidate(index));
         Some(self.places[best])
     }
 
-    fn renew_offer(&mut self, index: usize) {
-        self.offers[index] = self.offer(index);
-        if let Some(offer) = &self.offers[index] {
-            self.ranked.push(Reverse((offer.rank, index)));
+    fn update_candidate(&mut self, index: usize) {
+        self.candidates[index] = self.candidate(index);
+        if let Some(candidate) = &self.candidates[index] {
+            self.ranked.push(Reverse((candidate.rank, index)));
         }
     }
 
     /// Takes the best offer: its place and its stops.
-    fn take_best(&mut self) -> Option<(usize, Vec<UnitIndex>)> {
+    fn take_cheapest(&mut self) -> Option<(usize, Vec<UnitIndex>)> {
         while let Some(Reverse((rank, index))) = self.ranked.pop() {
-            let offer = self.offers[index].take_if(|offer| offer.rank == rank);
-            if let Some(offer) = offer {
-                return Some((index, offer.stops));
+            let candidate = self.candidates[index].take_if(|candidate| candidate.rank == rank);
+            if let Some(candidate) = candidate {
+                return Some((index, candidate.stops));
             }
         }
         None
     }
 
     /// Returns what one more task costs at a place, if it can be placed there.
-    fn offer(&self, index: usize) -> Option<Offer> {
-        let most = self.need.step.max_per_worker;
-        if most > 0 && self.there(index) >= most {
+    fn candidate(&self, index: usize) -> Option<Candidate> {
+        let max = self.need.step.max_per_worker;
+        if max > 0 && self.present(index) >= max {
             return None;
         }
-        let stops = self.stops_at(index)?;
+        let stops = self.cheapest_stops_at(index)?;
         let cost = stops.iter().map(|&unit| self.units.units[unit].cost).sum();
-        let room = &self.rooms.rooms[self.places[index]];
-        let slower = self.need.speed_of(room) == MachineSpeed::Slower;
-        let rank = (room.avoided, room.unheard, slower, cost, self.free[index].devices);
-        Some(Offer { rank, stops })
+        let worker = &self.fleet.workers[self.places[index]];
+        let slower = self.need.speed_of(worker) == MachineSpeed::Slower;
+        let rank = (worker.avoided, worker.unconfirmed, slower, cost, self.free[index].devices);
+        Some(Candidate { rank, stops })
     }
 
     /// Returns the cheapest units to stop so that one task fits at a place.
-    fn stops_at(&self, index: usize) -> Option<Vec<UnitIndex>> {
+    fn cheapest_stops_at(&self, index: usize) -> Option<Vec<UnitIndex>> {
         let place = self.places[index];
         let demand = &self.need.demand;
-        let (mut free, mut owed) = (self.free[index], self.owed[index]);
+        let (mut free, mut overcommit) = (self.free[index], self.overcommit[index]);
         let mut stops = Vec::new();
         for unit in self.units.at(place, self.need.priority) {
             if free.fits(demand) {
                 break;
             }
-            if self.chosen.contains(&unit) {
+            if self.victims.contains(&unit) {
                 continue;
             }
             let helps = self.units.held_at(unit, place).any(|held| {
@@ -218,7 +231,7 @@
             if !helps {
                 continue;
             }
-            self.units.held_at(unit, place).for_each(|held| free.give_less(held, &mut owed));
+            self.units.held_at(unit, place).for_each(|held| free.give_less(held, &mut overcommit));
             stops.push(unit);
         }
         free.fits(demand).then_some(stops)
--- a/crates/rampbay-jobs/src/planner/progress.rs
+++ b/crates/rampbay-jobs/src/planner/progress.rs
@@ -11,11 +11,11 @@
 
 /// A run's latest progress.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ObservedProgress {
     /// How far it is, 0 to 100.
     pub percent: u32,
     /// When it came there.
-    pub since: Instant,
+    pub unchanged_since: Instant,
     /// When its agent saw it first.
     pub first_seen: Instant,
     /// What it saved last.
@@ -38,7 +38,7 @@
 }
 
 /// Shortest interval over which a rate is measured.
-const SHORTEST_INTERVAL_MS: u64 = 900;
+const MIN_INTERVAL_MS: u64 = 900;
 
 impl Rate {
     fn begin(run: &RunProgress) -> Self {
@@ -51,7 +51,7 @@
             // Its agent has started again.
             return Self::begin(run);
         };
-        if interval < SHORTEST_INTERVAL_MS || run.percent >= FULL_PERCENT {
+        if interval < MIN_INTERVAL_MS || run.percent >= FULL_PERCENT {
             return self;
         }
         let gained = run.percent.saturating_sub(self.begin_percent);
@@ -69,14 +69,14 @@
 
 /// A run and its progress.
 #[derive(Clone, Debug)]
-struct SeenRun {
+struct ObservedRun {
     task: TaskId,
     attempt: u32,
-    seen: Seen,
+    seen: ObservedProgress,
 }
 
-impl SeenRun {
-    fn is(&self, task: &TaskId, attempt: u32) -> bool {
+impl ObservedRun {
+    fn matches(&self, task: &TaskId, attempt: u32) -> bool {
         self.attempt == attempt && self.task == *task
     }
 }
@@ -84,16 +84,16 @@
 /// The runs that are known at a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct RunsAt<'a> {
-    listed: &'a [SeenRun],
+    listed: &'a [ObservedRun],
     /// Runs that are listed no longer.
-    ended: &'a [SeenRun],
+    ended: &'a [ObservedRun],
 }
 
 impl<'a> RunsAt<'a> {
     /// Returns the progress of one of them.
-    pub fn find(&self, task: &TaskId, attempt: u32) -> Option<&'a Seen> {
+    pub fn find(&self, task: &TaskId, attempt: u32) -> Option<&'a ObservedProgress> {
         let mut runs = self.listed.iter().chain(self.ended);
-        runs.find(|run| run.is(task, attempt)).map(|run| &run.seen)
+        runs.find(|run| run.matches(task, attempt)).map(|run| &run.seen)
     }
 }
 
@@ -103,7 +103,7 @@
     received_at: Instant,
     silent: Duration,
     /// What it lists.
-    runs: Vec<SeenRun>,
+    runs: Vec<ObservedRun>,
 }
 
 /// What an agent's latest report says of it.
@@ -114,7 +114,7 @@
     /// How long its worker hadn't answered it at the report.
     pub silent: Duration,
     /// Whether it has reported since reports could last be read again.
-    pub is_heard: bool,
+    pub has_reported: bool,
 }
 
 /// Progress of all runs.
@@ -122,7 +122,7 @@
 pub struct ProgressTable {
     reports: BTreeMap<InstanceId, Report>,
     /// Runs that are listed no longer, by their workers.
-    ended: BTreeMap<InstanceId, Vec<SeenRun>>,
+    ended: BTreeMap<InstanceId, Vec<ObservedRun>>,
     /// Rises with each report.
     version: u64,
     /// Reports older than this time may be missing only because none could be read.
@@ -131,12 +131,12 @@
 }
 
 /// Time between reads beyond which the reports' ages say nothing about the agents.
-const READ_GAP: Duration = Duration::from_millis(1500);
+const MAX_READ_GAP: Duration = Duration::from_millis(1500);
 
 impl ProgressTable {
     /// Takes note that the reports could be read at this time.
     pub fn note_read(&mut self, now: Instant) {
-        let gap = self.last_read.is_none_or(|last| now - last > READ_GAP);
+        let gap = self.last_read.is_none_or(|last| now - last > MAX_READ_GAP);
         if gap {
             self.readable_since = Some(now);
         }
@@ -154,15 +154,15 @@
         let report = self.reports.get(instance);
         let silent = report.map_or(Duration::ZERO, |report| report.silent);
         let Some(readable) = self.readable_since else {
-            return ReportView { age: Duration::ZERO, silent, is_heard: false };
+            return ReportView { age: Duration::ZERO, silent, has_reported: false };
         };
         let received = report.map_or(readable, |report| report.received_at);
-        let is_readable = self.last_read.is_some_and(|last| now - last <= READ_GAP);
+        let is_readable = self.last_read.is_some_and(|last| now - last <= MAX_READ_GAP);
         let age = now.saturating_duration_since(received.max(readable));
         ReportView {
             age: if is_readable { age } else { Duration::ZERO },
             silent,
-            is_heard: received > readable,
+            has_reported: received > readable,
         }
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// Returns the progress of a run at a worker.
-    pub fn run(&self, instance: &str, task: &TaskId, attempt: u32) -> Option<&Seen> {
+    pub fn run(&self, instance: &str, task: &TaskId, attempt: u32) -> Option<&ObservedProgress> {
         self.runs_at(instance).find(task, attempt)
     }
 
@@ -185,16 +185,18 @@
     }
 
     /// Iterates over all runs that are known, worker by worker.
-    pub fn runs(&self) -> impl Iterator<Item = (&TaskId, u32, &Seen)> {
+    pub fn runs(&self) -> impl Iterator<Item = (&TaskId, u32, &ObservedProgress)> {
         let listed = self.reports.values().flat_map(|report| &report.runs);
         let ended = self.ended.values().flatten();
         listed.chain(ended).map(|run| (&run.task, run.attempt, &run.seen))
     }
 
     /// Returns how long a run's reports have said the same. Time without reports doesn't count.
-    pub fn same_for(&self, seen: &Seen) -> Duration {
+    pub fn unchanged_for(&self, seen: &ObservedProgress) -> Duration {
         let report = self.reports.get(&seen.instance);
-        report.map_or(Duration::ZERO, |r| r.received_at.saturating_duration_since(seen.since))
+        report.map_or(Duration::ZERO, |r| {
+            r.received_at.saturating_duration_since(seen.unchanged_since)
+        })
     }
 
     /// Takes in a report.
@@ -204,32 +206,39 @@
         before.append(self.ended.entry(instance.to_owned()).or_default());
         let mut runs = Vec::with_capacity(report.runs.len());
         for run in report.runs {
-            let place = before.iter().position(|known| known.is(&run.task, run.attempt));
+            let place = before.iter().position(|known| known.matches(&run.task, run.attempt));
             let known = place.map(|place| before.swap_remove(place).seen);
             runs.push(Self::advance(instance, known.as_ref(), run, now));
         }
-        self.keep_ended(instance, before, now);
+        self.retain_ended(instance, before, now);
         let silent = Duration::from_millis(report.silent_ms);
         self.reports.insert(instance.to_owned(), Report { received_at: now, silent, runs });
     }
 
-    fn advance(instance: &str, known: Option<&Seen>, run: RunProgress, now: Instant) -> SeenRun {
+    fn advance(
+        instance: &str,
+        known: Option<&ObservedProgress>,
+        run: RunProgress,
+        now: Instant,
+    ) -> ObservedRun {
         let rate = known.map_or_else(|| Rate::begin(&run), |seen| seen.rate.advance(&run));
         let same = known.filter(|seen| seen.percent == run.percent);
-        let seen = Seen {
+        let seen = ObservedProgress {
             percent: run.percent,
-            since: same.map_or(now, |seen| seen.since),
-            first_seen: known.map_or_else(|| began(&run, now), |seen| seen.first_seen),
+            unchanged_since: same.map_or(now, |seen| seen.unchanged_since),
+            first_seen: known.map_or_else(|| first_seen_at(&run, now), |seen| seen.first_seen),
             checkpoint: run.checkpoint,
             instance: instance.to_owned(),
             rate,
         };
-        SeenRun { task: run.task, attempt: run.attempt, seen }
+        ObservedRun { task: run.task, attempt: run.attempt, seen }
     }
 
     /// Keeps runs that are listed no longer for a while.
-    fn keep_ended(&mut self, instance: &str, mut over: Vec<SeenRun>, now: Instant) {
-        over.retain(|run| now.saturating_duration_since(run.seen.since) < KEEP_ENDED);
+    fn retain_ended(&mut self, instance: &str, mut over: Vec<ObservedRun>, now: Instant) {
+        over.retain(|run| {
+            now.saturating_duration_since(run.seen.unchanged_since) < ENDED_RETENTION
+        });
         if over.is_empty() {
             self.ended.remove(instance);
         } else {
@@ -242,17 +251,17 @@
         self.version += 1;
         let mut runs = self.reports.remove(instance).map_or_else(Vec::new, |known| known.runs);
         runs.extend(self.ended.remove(instance).unwrap_or_default());
-        self.keep_ended(instance, runs, now);
+        self.retain_ended(instance, runs, now);
     }
 }
 
 /// Returns when a run was first seen by its agent. A planner that takes over so knows how old runs are.
-fn began(run: &RunProgress, now: Instant) -> Instant {
+fn first_seen_at(run: &RunProgress, now: Instant) -> Instant {
     now.checked_sub(Duration::from_millis(run.ran_ms)).unwrap_or(now)
 }
 
 /// How long the progress of a run that is no longer listed is kept, for its checkpoint.
-const KEEP_ENDED: Duration = Duration::from_secs(30);
+const ENDED_RETENTION: Duration = Duration::from_secs(30);
 
 impl Sink for ProgressTable {
     fn reset(&mut self) {}
--- a/crates/rampbay-jobs/src/planner/queue.rs
+++ b/crates/rampbay-jobs/src/planner/queue.rs
@@ -95,14 +95,19 @@
         if is_final || cancelled {
             continue;
         }
-        let terms = Terms { id, submission: &submission, guaranteed: guaranteed.contains(id) };
+        let context =
+            JobContext { id, submission: &submission, guaranteed: guaranteed.contains(id) };
         let plan = draft.plan(id);
         for occurrence in plan.iter().flat_map(|plan| &plan.open) {
-            waiting.extend(ready_steps(terms, occurrence, forecasts));
+            waiting.extend(ready_steps(context, occurrence, forecasts));
         }
         let mut next = plan.map_or(0, |plan| plan.next_occurrence);
         while next < submission.occurrence_count() && is_due(&submission, next, inputs.wall) {
-            waiting.extend(ready_steps(terms, &Occurrence::unbegun(&submission, next), forecasts));
+            waiting.extend(ready_steps(
+                context,
+                &Occurrence::unbegun(&submission, next),
+                forecasts,
+            ));
             next += 1;
         }
     }
@@ -117,7 +122,7 @@
 
 /// A job, and what its steps go by.
 #[derive(Clone, Copy, Debug)]
-struct Terms<'a> {
+struct JobContext<'a> {
     id: &'a JobId,
     submission: &'a Rc<Submission>,
     guaranteed: bool,
@@ -129,11 +134,11 @@
 
 /// Lists the steps of an occurrence that may start.
 fn ready_steps(
-    terms: Terms<'_>,
+    context: JobContext<'_>,
     occurrence: &Occurrence,
     forecasts: &Forecasts,
 ) -> Vec<WaitingStep> {
-    let submission = terms.submission;
+    let submission = context.submission;
     let steps = submission.steps.iter().enumerate();
     let ready = steps.filter_map(|(number, step)| {
         let tasks = waiting_tasks(occurrence, number);
@@ -151,12 +156,12 @@
     let longest = chains.iter().copied().max().unwrap_or(0);
     let objective_at = waits_since + submission.objective_ms(longest);
     let ready = ready.into_iter().map(|(number, tasks)| WaitingStep {
-        job: terms.id.clone(),
+        job: context.id.clone(),
         submission: Rc::clone(submission),
         occurrence: occurrence.number,
         step: number as u32,
         tasks,
-        guaranteed: terms.guaranteed,
+        guaranteed: context.guaranteed,
         waits_since,
         duration_ms: durations[number],
         latest_start: objective_at.saturating_sub(chains[number]),
--- a/crates/rampbay-jobs/src/planner/reserve.rs
+++ b/crates/rampbay-jobs/src/planner/reserve.rs
@@ -6,37 +6,37 @@
 
 use crate::job::EpochMillis;
 
-use super::Place;
+use super::WorkerIndex;
+use super::fleet_state::FleetState;
 use super::queue::WaitingStep;
-use super::room::Rooms;
 
 /// Share of the usable workers that is kept for urgent work, in percent.
 const RESERVE_PERCENT: usize = 15;
 /// Time before its latest start from which work that isn't urgent may use the reserve, in
 /// milliseconds: half of the time that a task of most queues takes.
-const PRESSED_MS: u64 = 4_000;
+const RESERVE_LEAD_TIME_MS: u64 = 4_000;
 
 /// Returns whether a step may use the workers that are kept for urgent work.
 pub fn may_use_reserve(waiting: &WaitingStep, wall: EpochMillis) -> bool {
-    waiting.is_urgent() || wall + PRESSED_MS > waiting.latest_start
+    waiting.is_urgent() || wall + RESERVE_LEAD_TIME_MS > waiting.latest_start
 }
 
 /// Chooses the workers that are kept for urgent work: those that run nothing else, close together, so
 /// that gangs for one rack find room there.
-pub fn choose_reserve(rooms: &mut Rooms) {
-    let most = rooms.rooms.iter().filter(|room| room.usable).count() * RESERVE_PERCENT / 100;
-    let mut is_taken = vec![false; rooms.rooms.len()];
-    for task in rooms.running.iter().filter(|task| task.priority > 0) {
-        is_taken[task.place] = true;
+pub fn choose_reserve(fleet: &mut FleetState) {
+    let max = fleet.workers.iter().filter(|worker| worker.usable).count() * RESERVE_PERCENT / 100;
+    let mut is_occupied = vec![false; fleet.workers.len()];
+    for task in fleet.running.iter().filter(|task| task.priority > 0) {
+        is_occupied[task.place] = true;
     }
-    let free = (0..rooms.rooms.len()).filter(|&place| {
-        let room = &rooms.rooms[place];
-        room.usable && !room.avoided && !is_taken[place]
+    let free = (0..fleet.workers.len()).filter(|&place| {
+        let worker = &fleet.workers[place];
+        worker.usable && !worker.avoided && !is_occupied[place]
     });
-    let mut free: Vec<Place> = free.collect();
-    free.sort_by_key(|&place| rooms.rooms[place].rack);
-    free.truncate(most);
+    let mut free: Vec<WorkerIndex> = free.collect();
+    free.sort_by_key(|&place| fleet.workers[place].rack);
+    free.truncate(max);
     for place in free {
-        rooms.rooms[place].reserved = true;
+        fleet.workers[place].reserved = true;
     }
 }
--- a/crates/rampbay-jobs/src/planner/running.rs
+++ b/crates/rampbay-jobs/src/planner/running.rs
@@ -4,11 +4,11 @@
 
 use crate::job::{Resources, TaskId};
 
-use super::Place;
+use super::WorkerIndex;
 use super::progress::RunsAt;
 
 /// Work since the last checkpoint of a run that saves its progress, at most.
-const CHECKPOINT_WORK: Duration = Duration::from_millis(800);
+const MAX_UNSAVED_WORK: Duration = Duration::from_millis(800);
 /// Work that every stop throws away, for the start that has to come again.
 const RESTART_WORK: Duration = Duration::from_millis(300);
 /// The same for a member of a gang, which has to find room for all members again.
@@ -22,7 +22,7 @@
     /// What it holds.
     pub held: Resources,
     /// Its worker.
-    pub place: Place,
+    pub place: WorkerIndex,
     /// Priority of its queue.
     pub priority: u32,
     /// Number of its run, from 1.
@@ -42,7 +42,7 @@
         let seen = runs.find(&self.id, self.attempt);
         let mut lost = seen.map_or(Duration::ZERO, |seen| seen.first_seen.elapsed());
         if self.checkpointing {
-            lost = lost.min(CHECKPOINT_WORK);
+            lost = lost.min(MAX_UNSAVED_WORK);
         }
         let restart = if self.gang { GANG_RESTART_WORK } else { RESTART_WORK };
         let lost_ms = (lost + restart).as_millis() as u64;
--- a/crates/rampbay-jobs/src/planner/settle.rs
+++ b/crates/rampbay-jobs/src/planner/settle.rs
@@ -1,4 +1,4 @@
-//! Takes into the accounts what has happened: ends, lost workers, cancellations, done steps.
+//! Updates the job plans: applies ends of runs and cancellations, and settles gangs, occurrences and jobs.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,31 +11,32 @@
 
 use super::RoundInputs;
 use super::draft::Draft;
-use super::health::HealthBook;
+use super::health::HealthTracker;
 
-/// Takes in the ends that agents have reported.
-pub fn take_in_ends(draft: &mut Draft<'_>, inputs: &RoundInputs<'_>, health: &mut HealthBook) {
+/// Applies the ends that agents have reported to the plans.
+pub fn apply_ends(draft: &mut Draft<'_>, inputs: &RoundInputs<'_>, health: &mut HealthTracker) {
     for (key, end) in &inputs.table.ends {
         draft.remove(key.clone());
         if is_refusal_of_earlier_process(inputs.table, key, end) {
             log::info!(
-                "event=J137 refusal of an earlier process passed over task={} attempt={} worker={}",
+                "event=J137 refusal by an earlier agent process ignored task={} attempt={} worker={}",
                 end.task,
                 end.attempt,
                 end.instance
             );
             continue;
         }
-        note_health(end, inputs, health);
-        take_in_end(draft, inputs, end);
+        record_health(end, inputs, health);
+        apply_end(draft, inputs, end);
     }
 }
 
-/// Returns whether a start was refused by an agent's process that another one has followed. It may land late, when
-/// the later process has started the run: taken as an end, the run would have been given up while it went on.
+/// Returns whether a start was refused by an agent process that another process has replaced. Such a refusal may be
+/// stored late, after the later process has started the run; applied as an end, it would give up a run that goes on.
 fn is_refusal_of_earlier_process(table: &JobTable, key: &str, end: &RunEnd) -> bool {
     let (_, number) = split_refusal_key(key);
-    // Before the store has kept its registration, a process refuses only what the worker was told never to start.
+    // Before the store has kept the process's registration (number 0), the process refuses only runs that it has told
+    // the worker never to start.
     if end.reason != EndReason::NotStarted || number == 0 {
         return false;
     }
@@ -43,20 +44,20 @@
     is_registered && !table.registrations().is_by_process_of(&end.instance, number)
 }
 
-fn note_health(end: &RunEnd, inputs: &RoundInputs<'_>, health: &mut HealthBook) {
+fn record_health(end: &RunEnd, inputs: &RoundInputs<'_>, health: &mut HealthTracker) {
     match end.reason {
-        EndReason::Failed => health.failed(&end.instance, &end.task.job, inputs.now),
-        EndReason::Done => health.succeeded(&end.instance),
-        EndReason::NotStarted => health.refused(&end.instance, inputs.now),
+        EndReason::Failed => health.record_failure(&end.instance, &end.task.job, inputs.now),
+        EndReason::Done => health.record_success(&end.instance),
+        EndReason::NotStarted => health.record_refusal(&end.instance, inputs.now),
         _ => {}
     }
     if end.reason != EndReason::NotStarted {
-        health.started(&end.instance);
+        health.record_start(&end.instance);
     }
 }
 
-/// Takes one end into the account of its task.
-pub fn take_in_end(draft: &mut Draft<'_>, inputs: &RoundInputs<'_>, end: &RunEnd) {
+/// Applies the end of a run to the plan of its task, if it is the task's current run.
+pub fn apply_end(draft: &mut Draft<'_>, inputs: &RoundInputs<'_>, end: &RunEnd) {
     let Some(submission) = draft.submission(&end.task.job) else { return };
     let Some(step) = submission.steps.get(end.task.step as usize) else { return };
     let current = draft.plan(&end.task.job).and_then(|plan| plan.task(&end.task));
@@ -106,7 +107,7 @@
     seen.map(|seen| seen.checkpoint.clone()).unwrap_or_default()
 }
 
-/// Counts a failed run: for a gang once for each of its runs, at all members.
+/// Counts a failed run. A failed gang run is counted once, at all members.
 fn count_failure(plan: &mut JobPlan, submission: &Submission, step: &Step, end: &RunEnd) {
     let members = if step.gang { 0..step.count } else { end.task.index..end.task.index + 1 };
     for index in members {
@@ -123,7 +124,7 @@
     }
 }
 
-/// Ends jobs that their callers have cancelled, and stops what runs of jobs that have ended.
+/// Ends jobs that their callers have cancelled, and stops the runs of jobs that have ended.
 pub fn cancel(draft: &mut Draft<'_>) {
     for id in &draft.table.active {
         let cancelled = draft.table.jobs.get(id).is_some_and(|job| job.cancelled);
@@ -147,15 +148,16 @@
     }
 }
 
-/// Accounts as the store holds them in which nothing is left to settle.
+/// Plans, as the store holds them, in which nothing is left to settle.
 ///
-/// What a round finds settled it needn't look at again until the account changes: a changed account
-/// is another value, and these are kept so that none takes the place of another in memory.
+/// A plan that a round found settled needn't be checked again until it changes. A changed plan is
+/// another allocation; the settled ones are kept alive here so that a new plan can't reuse the
+/// address of an old one.
 #[derive(Debug, Default)]
 pub struct SettledPlans(BTreeMap<JobId, Rc<JobPlan>>);
 
 impl SettledPlans {
-    fn holds(&self, id: &JobId, plan: &Rc<JobPlan>) -> bool {
+    fn contains(&self, id: &JobId, plan: &Rc<JobPlan>) -> bool {
         self.0.get(id).is_some_and(|settled| Rc::ptr_eq(settled, plan))
     }
 
@@ -169,7 +171,7 @@
     known.keep_active(inputs.table);
     for id in &inputs.table.active {
         let kept = draft.unchanged_plan(id);
-        if kept.is_some_and(|plan| known.holds(id, plan)) {
+        if kept.is_some_and(|plan| known.contains(id, plan)) {
             continue;
         }
         let Some(submission) = draft.submission(id) else { continue };
@@ -195,14 +197,14 @@
     }
 }
 
-/// A gang's end is joint: one member done counts for all; one member over ends the others.
+/// Settles gangs: one member done counts for all members, and the end of one member stops the others.
 fn settle_gangs(plan: &mut JobPlan, submission: &Submission) {
     for occurrence in &mut plan.open {
         for (tasks, step) in occurrence.steps.iter_mut().zip(&submission.steps) {
             if step.gang && !step.long_running {
                 settle_gang(tasks, submission.attempts.max(1));
             } else if step.gang {
-                stop_rest(tasks);
+                stop_others(tasks);
             }
         }
     }
@@ -218,13 +220,13 @@
         }
     }
     if !any_done {
-        stop_rest(tasks);
+        stop_others(tasks);
     }
 }
 
-fn stop_rest(tasks: &mut [TaskPlan]) {
-    let some_over = tasks.iter().any(|task| task.status != TaskStatus::Running);
-    if !some_over {
+fn stop_others(tasks: &mut [TaskPlan]) {
+    let any_ended = tasks.iter().any(|task| task.status != TaskStatus::Running);
+    if !any_ended {
         return;
     }
     for task in tasks.iter_mut().filter(|task| task.status == TaskStatus::Running) {
--- a/crates/rampbay-jobs/src/planner/pace.rs
+++ b/crates/rampbay-jobs/src/planner/speed.rs
@@ -1,9 +1,9 @@
-//! How fast the workers are, measured by the progress of their runs.
+//! Speeds of the workers, measured by the progress of their runs.
 //!
-//! A run's rate against the expected duration of its task gives a pace: 1 is as expected. One run
-//! says little, since tasks differ; but a worker none of whose runs comes near its expected pace is
-//! slow now. The tasks of one step are alike: a worker whose runs lag behind those of the same steps
-//! elsewhere, on average, is a slower machine.
+//! The rate of a run divided by the rate that its task's expected duration implies gives a ratio: 1 is
+//! as expected. A single run says little, since tasks differ; but a worker none of whose runs comes
+//! near its expected rate is slow now. The tasks of one step are alike: a worker whose runs are on
+//! average slower than those of the same steps elsewhere is a slower machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,72 +12,72 @@
 
 use super::draft::Draft;
 use super::forecast::Forecasts;
-use super::progress::{FULL_PERCENT, Seen};
+use super::progress::{FULL_PERCENT, ObservedProgress};
 use super::{RoundInputs, StepKey};
 
-/// Best pace of a worker's runs below which the worker is slow now.
-const SLOW_PACE: f64 = 0.33;
+/// Best ratio among a worker's runs below which the worker is slow now.
+const SLOW_RATIO: f64 = 0.33;
 /// Mean speed against other workers below which a worker is a slower machine.
-const SLOWER_MACHINE: f64 = 0.9;
-/// The same above which it is a faster one.
-const FASTER_MACHINE: f64 = 1.1;
-/// Runs of one step that make a comparison.
-const FEWEST_PEERS: usize = 3;
-/// Jobs that must run at a worker before it can be called slow: one may just be longer than expected.
-const FEWEST_JOBS: usize = 2;
-/// Intervals measured before the mean speed says anything.
-const FEWEST_INTERVALS: u32 = 4;
-/// Weight of one more interval in the mean speed.
+const SLOWER_MACHINE_RATIO: f64 = 0.9;
+/// Mean speed against other workers above which a worker is a faster machine.
+const FASTER_MACHINE_RATIO: f64 = 1.1;
+/// Smallest number of runs of one step that are compared.
+const MIN_PEERS: usize = 3;
+/// Smallest number of jobs at a worker that is called slow: a single job may just take longer than expected.
+const MIN_JOBS: usize = 2;
+/// Smallest number of measured intervals from which the mean speed is used.
+const MIN_INTERVALS: u32 = 4;
+/// Weight of a new interval in the mean speed.
 const INTERVAL_WEIGHT: f64 = 0.1;
-/// Slowest rate that is compared, in percent a second: less is a run that stands still.
-const LEAST_RATE: f64 = 1.0;
+/// Lower bound of the rates that are compared, in percent a second; a lower rate means a stalled run.
+const MIN_RATE: f64 = 1.0;
 
-/// How fast a machine is against others, fastest first.
+/// Speed class of a machine against others, fastest first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MachineSpeed {
     /// Faster than others.
     Faster,
-    /// Like others, or not known.
+    /// As fast as others, or not known.
     #[default]
     Usual,
     /// Slower than others.
     Slower,
 }
 
-/// Names a run: the task and its attempt.
+/// Identifies a run: the task and its attempt.
 type RunKey = (TaskId, u32);
 
-/// What is known of one worker's pace.
+/// Speed measurements of one worker.
 #[derive(Clone, Debug, Default)]
-struct WorkerPace {
-    /// The best pace of its runs at present.
-    best_now: f64,
-    /// Jobs that run there at present.
-    jobs_now: BTreeSet<JobId>,
-    mean_log: f64,
+struct WorkerSpeed {
+    /// The best ratio among its current runs.
+    best_ratio: f64,
+    /// Jobs that currently run there.
+    current_jobs: BTreeSet<JobId>,
+    mean_log_ratio: f64,
     intervals: u32,
 }
 
-/// The pace of all workers.
+/// Speed measurements of all workers.
 #[derive(Debug, Default)]
-pub struct PaceBook {
-    workers: BTreeMap<InstanceId, WorkerPace>,
+pub struct SpeedTracker {
+    workers: BTreeMap<InstanceId, WorkerSpeed>,
     counted: BTreeMap<RunKey, u32>,
-    /// State of the progress that was taken in last.
+    /// Version of the progress table at the last update.
     version: Option<u64>,
 }
 
-impl PaceBook {
-    /// Takes in what has been reported since the last call.
+impl SpeedTracker {
+    /// Updates the measurements if progress has been reported since the last call.
     pub fn update(&mut self, draft: &Draft<'_>, inputs: &RoundInputs<'_>, forecasts: &Forecasts) {
         if self.version == Some(inputs.progress.version()) {
             return;
         }
         self.version = Some(inputs.progress.version());
         self.workers.retain(|instance, _| inputs.table.workers.contains_key(instance));
-        self.workers.values_mut().for_each(WorkerPace::begin_round);
+        self.workers.values_mut().for_each(WorkerSpeed::reset_current);
         let mut counted = BTreeMap::new();
-        let mut peers: BTreeMap<StepKey, Vec<(RunKey, &Seen)>> = BTreeMap::new();
+        let mut peers: BTreeMap<StepKey, Vec<(RunKey, &ObservedProgress)>> = BTreeMap::new();
         for (task, attempt, seen) in inputs.progress.runs() {
             let Some(percent_per_s) = seen.rate.percent_per_s else { continue };
             let key = (task.clone(), attempt);
@@ -87,11 +87,11 @@
             let Some(expected) = expected_percent_per_s(draft, &key, inputs, forecasts) else {
                 continue;
             };
-            let pace = percent_per_s / expected;
+            let ratio = percent_per_s / expected;
             let worker = self.workers.entry(seen.instance.clone()).or_default();
             if seen.percent < FULL_PERCENT {
-                worker.best_now = worker.best_now.max(pace);
-                worker.jobs_now.insert(task.job.clone());
+                worker.best_ratio = worker.best_ratio.max(ratio);
+                worker.current_jobs.insert(task.job.clone());
             }
             let step = (task.job.clone(), task.occurrence, task.step);
             peers.entry(step).or_default().push((key, seen));
@@ -104,11 +104,11 @@
     }
 
     /// Compares the runs of one step.
-    fn compare(&mut self, runs: &[(RunKey, &Seen)]) {
+    fn compare(&mut self, runs: &[(RunKey, &ObservedProgress)]) {
         let rates = runs.iter().filter_map(|(_, seen)| seen.rate.percent_per_s);
-        let logs: Vec<f64> = rates.map(|rate| rate.max(LEAST_RATE).ln()).collect();
+        let logs: Vec<f64> = rates.map(|rate| rate.max(MIN_RATE).ln()).collect();
         let workers: BTreeSet<&InstanceId> = runs.iter().map(|(_, seen)| &seen.instance).collect();
-        if workers.len() < 2 || logs.len() < FEWEST_PEERS {
+        if workers.len() < 2 || logs.len() < MIN_PEERS {
             return;
         }
         let mean = logs.iter().sum::<f64>() / logs.len() as f64;
@@ -116,7 +116,7 @@
             let counted = self.counted.entry(key.clone()).or_default();
             if *counted < seen.rate.intervals {
                 *counted = seen.rate.intervals;
-                self.workers.entry(seen.instance.clone()).or_default().count(log - mean);
+                self.workers.entry(seen.instance.clone()).or_default().add_interval(log - mean);
             }
         }
     }
@@ -124,35 +124,40 @@
     /// Returns whether a worker is slow now.
     pub fn is_slow(&self, instance: &str) -> bool {
         self.workers.get(instance).is_some_and(|worker| {
-            worker.jobs_now.len() >= FEWEST_JOBS && worker.best_now < SLOW_PACE
+            worker.current_jobs.len() >= MIN_JOBS && worker.best_ratio < SLOW_RATIO
         })
     }
 
-    /// Returns how fast a machine is against others.
+    /// Returns the speed class of a machine.
     pub fn machine_speed(&self, instance: &str) -> MachineSpeed {
         let worker = self.workers.get(instance);
-        match worker.filter(|worker| worker.intervals >= FEWEST_INTERVALS) {
-            Some(worker) if worker.mean_log < SLOWER_MACHINE.ln() => MachineSpeed::Slower,
-            Some(worker) if worker.mean_log > FASTER_MACHINE.ln() => MachineSpeed::Faster,
+        match worker.filter(|worker| worker.intervals >= MIN_INTERVALS) {
+            Some(worker) if worker.mean_log_ratio < SLOWER_MACHINE_RATIO.ln() => {
+                MachineSpeed::Slower
+            }
+            Some(worker) if worker.mean_log_ratio > FASTER_MACHINE_RATIO.ln() => {
+                MachineSpeed::Faster
+            }
             _ => MachineSpeed::Usual,
         }
     }
 }
 
-impl WorkerPace {
-    fn begin_round(&mut self) {
-        self.best_now = 0.0;
-        self.jobs_now.clear();
+impl WorkerSpeed {
+    fn reset_current(&mut self) {
+        self.best_ratio = 0.0;
+        self.current_jobs.clear();
     }
 
-    fn count(&mut self, log: f64) {
+    fn add_interval(&mut self, log: f64) {
         self.intervals += 1;
         let weight = INTERVAL_WEIGHT.max(1.0 / f64::from(self.intervals));
-        self.mean_log += weight * (log - self.mean_log);
+        self.mean_log_ratio += weight * (log - self.mean_log_ratio);
     }
 }
 
-/// Returns how fast a run should get on where it is, if it is a current one.
+/// Returns the expected rate of a run, in percent a second. Returns `None` for a run that isn't the task's current one,
+/// that is long-running, or that is away from its data or rack.
 fn expected_percent_per_s(
     draft: &Draft<'_>,
     (task, attempt): &RunKey,
@@ -171,7 +176,7 @@
     (!step.long_running && !is_remote(plan, task, step, inputs)).then_some(expected)
 }
 
-/// Returns whether a run is away from its data, or its gang spread over racks.
+/// Returns whether a run is away from its data, or its gang is spread over racks although it wants one.
 fn is_remote(plan: &JobPlan, task: &TaskId, step: &Step, inputs: &RoundInputs<'_>) -> bool {
     let rack_of = |instance: &str| inputs.table.workers.get(instance).map(|worker| worker.rack());
     let Some(own) = plan.task(task).and_then(|task| rack_of(&task.instance)) else { return true };
--- a/crates/rampbay-jobs/src/planner/units.rs
+++ b/crates/rampbay-jobs/src/planner/units.rs
@@ -4,7 +4,7 @@
 
 use crate::job::{JobId, Resources, TaskId};
 
-use super::Place;
+use super::WorkerIndex;
 use super::running::RunningTask;
 
 /// Place of a unit in [`Units::units`]; cheaper units come first.
@@ -16,7 +16,7 @@
     /// One of its runs.
     pub first: TaskId,
     /// What its runs hold, and where.
-    pub held: Vec<(Place, Resources)>,
+    pub held: Vec<(WorkerIndex, Resources)>,
     /// Priority of its queue.
     pub priority: u32,
     /// Work that the stop throws away, in thousandths of core-seconds.
@@ -37,17 +37,17 @@
 }
 
 /// Priority from which on all work weighs the same.
-const LEAST_PRIORITY: u32 = 2;
+const LOWEST_WEIGHTED_PRIORITY: u32 = 2;
 
 /// Returns how much a stop weighs: twice as much for each step of priority.
 fn weight(priority: u32) -> u64 {
-    1 << LEAST_PRIORITY.saturating_sub(priority)
+    1 << LOWEST_WEIGHTED_PRIORITY.saturating_sub(priority)
 }
 
 impl Units {
     /// Gathers what runs at `places` workers into units. `lost_work` says what the stop of a run throws away,
     /// in thousandths of core-seconds.
-    pub fn gather(
+    pub fn group(
         running: &[RunningTask],
         places: usize,
         lost_work: impl Fn(&RunningTask) -> u64,
@@ -91,7 +91,7 @@
 
     /// Iterates over the units with a run at a worker that may be stopped for work of a priority,
     /// cheaper ones first.
-    pub fn at(&self, place: Place, priority: u32) -> impl Iterator<Item = UnitIndex> + '_ {
+    pub fn at(&self, place: WorkerIndex, priority: u32) -> impl Iterator<Item = UnitIndex> + '_ {
         let units = self.by_place[place].iter().copied();
         units.filter(move |&index| {
             let unit = &self.units[index];
@@ -100,7 +100,7 @@
     }
 
     /// Iterates over what one unit holds at a worker, run by run.
-    pub fn held_at(&self, unit: UnitIndex, place: Place) -> impl Iterator<Item = &Resources> {
+    pub fn held_at(&self, unit: UnitIndex, place: WorkerIndex) -> impl Iterator<Item = &Resources> {
         let held = self.units[unit].held.iter().filter(move |(at, _)| *at == place);
         held.map(|(_, held)| held)
     }
--- a/crates/rampbay-jobs/src/planner/unreported.rs
+++ b/crates/rampbay-jobs/src/planner/unreported.rs
@@ -11,9 +11,9 @@
 use crate::job::TaskId;
 
 /// Longest time for which an agent may report without a run that was assigned to its worker.
-const UPTAKE_TIME: Duration = Duration::from_millis(4000);
+const PICKUP_TIMEOUT: Duration = Duration::from_millis(4000);
 /// Longest time between two reports that counts: after a longer one the agent gets its time anew.
-const REPORT_GAP: Duration = Duration::from_millis(3500);
+const MAX_REPORT_GAP: Duration = Duration::from_millis(3500);
 
 /// The reports without a run, from the first to the latest of them.
 #[derive(Clone, Copy, Debug)]
@@ -27,7 +27,7 @@
 pub struct UnreportedRuns {
     known: BTreeMap<(TaskId, u32), Unreported>,
     /// Those that have been looked at since [`Self::forget_others`].
-    looked_at: BTreeMap<(TaskId, u32), Unreported>,
+    checked: BTreeMap<(TaskId, u32), Unreported>,
 }
 
 impl UnreportedRuns {
@@ -37,14 +37,14 @@
         let key = (task.clone(), attempt);
         let first = Unreported { since: Instant::now(), latest: reported_at };
         let known = self.known.remove(&key).unwrap_or(first);
-        let has_gap = reported_at.saturating_duration_since(known.latest) > REPORT_GAP;
+        let has_gap = reported_at.saturating_duration_since(known.latest) > MAX_REPORT_GAP;
         let since = if has_gap { reported_at } else { known.since };
-        self.looked_at.insert(key, Unreported { since, latest: reported_at });
-        reported_at.saturating_duration_since(since) > UPTAKE_TIME
+        self.checked.insert(key, Unreported { since, latest: reported_at });
+        reported_at.saturating_duration_since(since) > PICKUP_TIMEOUT
     }
 
     /// Forgets the runs that haven't been looked at since it was called last: they are reported by now, or over.
-    pub fn forget_others(&mut self) {
-        self.known = std::mem::take(&mut self.looked_at);
+    pub fn finish_pass(&mut self) {
+        self.known = std::mem::take(&mut self.checked);
     }
 }
--- a/crates/rampbay-jobs/src/planner/waits.rs
+++ b/crates/rampbay-jobs/src/planner/waits.rs
@@ -7,7 +7,7 @@
 use super::{RoundInputs, StepKey};
 
 /// Least time between two lines of one step.
-const LINE_GAP: Duration = Duration::from_secs(1);
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a step that may start doesn't.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 impl WaitReason {
     /// Returns its name in logs.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn label(self) -> &'static str {
         match self {
             Self::StopsUnderWay => "stops_under_way",
             Self::NoRack => "no_rack",
@@ -64,28 +64,28 @@
 
 /// The steps that wait, as they were told last.
 #[derive(Debug, Default)]
-pub struct WaitBook {
-    told: BTreeMap<StepKey, (WaitReason, Duration)>,
+pub struct WaitLog {
+    logged: BTreeMap<StepKey, (WaitReason, Duration)>,
 }
 
-impl WaitBook {
+impl WaitLog {
     /// Takes in what waits after a round, and tells what has changed.
     pub fn update(&mut self, waits: &[Wait], now: Duration) {
         let keys: BTreeSet<&StepKey> = waits.iter().map(|wait| &wait.key).collect();
-        self.told.retain(|key, _| keys.contains(key));
+        self.logged.retain(|key, _| keys.contains(key));
         for wait in waits {
-            let told = self.told.get(&wait.key);
-            let is_news = told.is_none_or(|(reason, at)| {
-                *reason != wait.reason && now.saturating_sub(*at) >= LINE_GAP
+            let logged = self.logged.get(&wait.key);
+            let should_log = logged.is_none_or(|(reason, at)| {
+                *reason != wait.reason && now.saturating_sub(*at) >= MIN_LOG_INTERVAL
             });
-            if !is_news {
+            if !should_log {
                 continue;
             }
-            self.told.insert(wait.key.clone(), (wait.reason, now));
+            self.logged.insert(wait.key.clone(), (wait.reason, now));
             let (job, occurrence, step) = &wait.key;
             log::info!(
                 "event=J152 step waits job={job} occurrence={occurrence} step={step} reason={} tasks={} waited_ms={}",
-                wait.reason.word(),
+                wait.reason.label(),
                 wait.tasks,
                 wait.waited_ms
             );
@@ -95,6 +95,6 @@
     /// Returns why a step waits, as it was told last.
     #[must_use]
     pub fn reason(&self, key: &StepKey) -> Option<WaitReason> {
-        self.told.get(key).map(|(reason, _)| *reason)
+        self.logged.get(key).map(|(reason, _)| *reason)
     }
 }
--- a/crates/rampbay-jobs/src/planner/watch.rs
+++ b/crates/rampbay-jobs/src/planner/watch.rs
@@ -8,9 +8,9 @@
 use crate::job::{Step, Submission, TaskId};
 use crate::metrics::metrics;
 
-use super::departure::{NoticedRun, Rest};
+use super::departure::{DepartingRun, RemainingTime};
 use super::draft::Draft;
-use super::progress::{FULL_PERCENT, Seen};
+use super::progress::{FULL_PERCENT, ObservedProgress};
 use super::unreported::UnreportedRuns;
 use super::workers::{WorkerView, WorkerViews};
 use super::{Planner, RoundInputs};
@@ -22,10 +22,10 @@
     workers: &WorkerViews<'_>,
     inputs: &RoundInputs<'_>,
 ) {
-    let is_news = planner.watched != Some(inputs.progress.version());
-    planner.watched = Some(inputs.progress.version());
-    let any_leaves = workers.views.iter().any(|view| view.record.draining);
-    if !is_news && !any_leaves {
+    let has_new_reports = planner.last_checked_progress != Some(inputs.progress.version());
+    planner.last_checked_progress = Some(inputs.progress.version());
+    let any_draining = workers.views.iter().any(|view| view.record.draining);
+    if !has_new_reports && !any_draining {
         return;
     }
     for id in &inputs.table.active {
@@ -38,30 +38,30 @@
             let Some(step) = submission.steps.get(task_id.step as usize) else { continue };
             let Some(worker) = workers.get(&task.instance) else { continue };
             let run = WatchedRun { id: &task_id, task, step, submission: &submission, worker };
-            if run.leaves_too_early(planner, inputs) {
+            if run.should_leave(planner, inputs) {
                 log::info!(
                     "event=J142 run leaves a draining worker task={task_id} worker={} remaining_ms={} left_ms={} percent={:?}",
                     task.instance,
-                    run.rest(planner, inputs).ms,
+                    run.remaining(planner, inputs).ms,
                     worker.record.leaves_at.saturating_sub(inputs.wall),
                     run.seen(inputs).map(|seen| seen.percent)
                 );
                 moved.push(task_id);
-            } else if is_news && let Some(percent) = run.stands_still(planner, inputs) {
+            } else if has_new_reports && let Some(percent) = run.stalled_percent(planner, inputs) {
                 log::warn!(
                     "event=J143 run stands still task={task_id} worker={} percent={percent}",
                     task.instance
                 );
-                planner.health.stalled(&task.instance, inputs.now);
+                planner.health.record_stall(&task.instance, inputs.now);
                 moved.push(task_id);
-            } else if is_news && run.is_not_taken_up(&mut planner.unreported, inputs) {
+            } else if has_new_reports && run.is_not_picked_up(&mut planner.unreported, inputs) {
                 log::warn!(
                     "event=J148 run not taken up task={task_id} attempt={} worker={} agent={}",
                     task.attempt,
                     task.instance,
                     worker.record.node
                 );
-                planner.health.stalled(&task.instance, inputs.now);
+                planner.health.record_stall(&task.instance, inputs.now);
                 moved.push(task_id);
             }
         }
@@ -70,8 +70,8 @@
             draft.stop_unit(&task);
         }
     }
-    if is_news {
-        planner.unreported.forget_others();
+    if has_new_reports {
+        planner.unreported.finish_pass();
     }
 }
 
@@ -85,25 +85,30 @@
 }
 
 impl WatchedRun<'_> {
-    fn seen<'b>(&self, inputs: &RoundInputs<'b>) -> Option<&'b Seen> {
+    fn seen<'b>(&self, inputs: &RoundInputs<'b>) -> Option<&'b ObservedProgress> {
         inputs.progress.run(&self.task.instance, self.id, self.task.attempt)
     }
 
     /// Returns what it is expected to need still, by its own rate if that is known.
-    fn rest(&self, planner: &Planner, inputs: &RoundInputs<'_>) -> Rest {
+    fn remaining(&self, planner: &Planner, inputs: &RoundInputs<'_>) -> RemainingTime {
         let ms = planner.forecasts.duration_ms(self.submission, self.step);
-        let Some(seen) = self.seen(inputs) else { return Rest { ms, is_by_rate: false } };
+        let Some(seen) = self.seen(inputs) else {
+            return RemainingTime { ms, is_from_rate: false };
+        };
         if let Some(ms) = remaining_by_rate_ms(seen) {
             // It has gone on since its agent reported it.
             let since = inputs.progress.report(&self.task.instance, Instant::now()).age;
-            return Rest { ms: ms.saturating_sub(since.as_millis() as u64), is_by_rate: true };
+            return RemainingTime {
+                ms: ms.saturating_sub(since.as_millis() as u64),
+                is_from_rate: true,
+            };
         }
         let elapsed = seen.first_seen.elapsed().as_millis() as u64;
-        Rest { ms: ms.saturating_sub(elapsed), is_by_rate: false }
+        RemainingTime { ms: ms.saturating_sub(elapsed), is_from_rate: false }
     }
 
     /// Returns whether it is better off elsewhere than at its worker, which leaves.
-    fn leaves_too_early(&self, planner: &Planner, inputs: &RoundInputs<'_>) -> bool {
+    fn should_leave(&self, planner: &Planner, inputs: &RoundInputs<'_>) -> bool {
         let worker = self.worker.record;
         if !worker.draining {
             return false;
@@ -112,17 +117,17 @@
             return true;
         }
         let ran = self.seen(inputs).map_or(Duration::ZERO, |seen| seen.first_seen.elapsed());
-        let run = NoticedRun {
+        let run = DepartingRun {
             ran,
-            saves: self.step.checkpointing,
-            rest: self.rest(planner, inputs),
-            left_ms: worker.leaves_at.saturating_sub(inputs.wall),
+            checkpointing: self.step.checkpointing,
+            remaining: self.remaining(planner, inputs),
+            notice_left_ms: worker.leaves_at.saturating_sub(inputs.wall),
         };
-        !run.stays()
+        !run.should_stay()
     }
 
     /// Returns whether its agent goes on reporting without it.
-    fn is_not_taken_up(&self, unreported: &mut UnreportedRuns, inputs: &RoundInputs<'_>) -> bool {
+    fn is_not_picked_up(&self, unreported: &mut UnreportedRuns, inputs: &RoundInputs<'_>) -> bool {
         if self.seen(inputs).is_some() {
             return false;
         }
@@ -131,7 +136,7 @@
     }
 
     /// Returns how far it is, in percent, if it gets on no more.
-    fn stands_still(&self, planner: &Planner, inputs: &RoundInputs<'_>) -> Option<u32> {
+    fn stalled_percent(&self, planner: &Planner, inputs: &RoundInputs<'_>) -> Option<u32> {
         if self.step.long_running {
             return None;
         }
@@ -140,16 +145,17 @@
         let past_estimate = seen.percent >= FULL_PERCENT;
         let longest =
             Duration::from_millis(self.step.estimate_ms * planner.settings.remote_penalty);
-        let patience =
+        let stall_limit =
             planner.settings.stall_after + if past_estimate { longest } else { Duration::ZERO };
         let suspect_after = planner.settings.suspect_after;
-        let is_heard = self.worker.report_age < suspect_after && self.worker.silent < suspect_after;
-        (is_heard && inputs.progress.same_for(seen) > patience).then_some(seen.percent)
+        let is_responsive =
+            self.worker.report_age < suspect_after && self.worker.silent < suspect_after;
+        (is_responsive && inputs.progress.unchanged_for(seen) > stall_limit).then_some(seen.percent)
     }
 }
 
 /// Returns the time that a run still needs at its present rate, in milliseconds.
-fn remaining_by_rate_ms(seen: &Seen) -> Option<u64> {
+fn remaining_by_rate_ms(seen: &ObservedProgress) -> Option<u64> {
     let rate = seen.rate.percent_per_s?;
     let left = f64::from(FULL_PERCENT.saturating_sub(seen.percent));
     // A run that doesn't get on is never done; a float that is too large becomes the largest time.
--- a/crates/rampbay-jobs/src/planner/workers.rs
+++ b/crates/rampbay-jobs/src/planner/workers.rs
@@ -23,7 +23,7 @@
     /// How long it hadn't answered its agent at the last report.
     pub silent: Duration,
     /// Whether its agent has reported since reports could last be read again.
-    pub is_heard: bool,
+    pub has_reported: bool,
 }
 
 /// All workers, in the order of their ids.
@@ -31,7 +31,7 @@
 pub struct WorkerViews<'a> {
     /// The workers.
     pub views: Vec<WorkerView<'a>>,
-    places: HashMap<&'a str, usize>,
+    indices: HashMap<&'a str, usize>,
 }
 
 impl<'a> WorkerViews<'a> {
@@ -46,22 +46,22 @@
                 record,
                 report_age: report.age.min(inputs.now.saturating_sub(known)),
                 silent: report.silent,
-                is_heard: report.is_heard,
+                has_reported: report.has_reported,
             }
         });
         let views: Vec<WorkerView<'a>> = views.collect();
-        let places = views.iter().enumerate();
-        let places = places.map(|(place, view)| (view.instance.as_str(), place)).collect();
-        Self { views, places }
+        let indices = views.iter().enumerate();
+        let indices = indices.map(|(index, view)| (view.instance.as_str(), index)).collect();
+        Self { views, indices }
     }
 
     /// Returns the place of a worker in the list.
-    pub fn place(&self, instance: &str) -> Option<usize> {
-        self.places.get(instance).copied()
+    pub fn index(&self, instance: &str) -> Option<usize> {
+        self.indices.get(instance).copied()
     }
 
     /// Returns a worker.
     pub fn get(&self, instance: &str) -> Option<&WorkerView<'a>> {
-        self.place(instance).map(|place| &self.views[place])
+        self.index(instance).map(|index| &self.views[index])
     }
 }
--- a/crates/rampbay-jobs/tests/losses.rs
+++ b/crates/rampbay-jobs/tests/losses.rs
@@ -37,7 +37,7 @@
 #[case::five_without_proof(&[lost(1), lost(2), lost(3), lost(4), lost(5)], true)]
 #[case::one_run_many_times(&[proof(1), proof(1), proof(1), proof(1), proof(1)], false)]
 fn given_up(#[case] of: &[LostRun], #[case] expected: bool) {
-    assert_eq!(losses(of).is_convicted(), expected);
+    assert_eq!(losses(of).should_give_up(), expected);
 }
 
 #[rstest]
@@ -88,7 +88,10 @@
 #[case::listed_for_longer(1_000, false)]
 fn worker_went_soon(#[case] listed_ms: u64, #[case] expected: bool) {
     let task = "00000000000000aa.0.0.0".parse().expect("a task");
-    assert_eq!(InFlightRun { task, attempt: 1, age_ms: 9_000, listed_ms }.went_soon(), expected);
+    assert_eq!(
+        InFlightRun { task, attempt: 1, age_ms: 9_000, listed_ms }.ended_soon_after_start(),
+        expected
+    );
 }
 
 #[test]
@@ -97,7 +100,7 @@
     let key = |index| UnitKey { occurrence: 0, step: 0, index };
     job.0.insert(key(0), losses(&[lost(1), lost(2)]));
     job.0.insert(key(1), losses(&[lost(1)]));
-    job.forgive(|instance| instance == "i-1");
+    job.discard(|instance| instance == "i-1");
     assert_eq!(job.0.keys().collect::<Vec<_>>(), [&key(0)]);
     assert_eq!(job.iter().map(|lost| lost.attempt).collect::<Vec<_>>(), [2]);
 }
