--- a/crates/rampbay-jobs/src/planner/expire.rs
+++ b/crates/rampbay-jobs/src/planner/expire.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::job::JobId;
-use crate::keys::{life_key, losses_key, over_key, plan_key, worker_key};
+use crate::keys::{life_key, losses_key, plan_key, registrations_end_key, worker_key};
 use crate::parts::part_keys;
 use crate::record::Record;
 
@@ -55,9 +55,11 @@
         draft.remove(worker_key(instance, *number));
     }
     let known = &mut planner.registrations_ended_since;
-    if known.len() != registrations.ended().count() {
-        known.retain(|instance, _| registrations.ended().any(|ended| ended == instance));
-        for instance in registrations.ended() {
+    if known.len() != registrations.workers_with_ended().count() {
+        known.retain(|instance, _| {
+            registrations.workers_with_ended().any(|ended| ended == instance)
+        });
+        for instance in registrations.workers_with_ended() {
             known.entry(instance.clone()).or_insert(inputs.now);
         }
     }
@@ -65,7 +67,7 @@
         .iter()
         .filter(|(_, since)| inputs.now.saturating_sub(**since) >= REGISTRATION_END_RETENTION);
     for (instance, _) in old {
-        draft.remove(over_key(instance));
+        draft.remove(registrations_end_key(instance));
         draft.remove(life_key(instance));
     }
 }
--- a/crates/rampbay-jobs/src/planner/place.rs
+++ b/crates/rampbay-jobs/src/planner/place.rs
@@ -1,9 +1,9 @@
 //! Assigns waiting tasks to workers.
 
-use crate::account::{JobPlan, JobStatus, Occurrence, TaskStatus};
 use crate::job::{Checkpoint, InstanceId};
 use crate::losses::Isolation;
 use crate::metrics::metrics;
+use crate::plan::{JobPlan, JobStatus, Occurrence, TaskStatus};
 
 use super::displace::{Scope, allowed_for, find_preemption, hold_workers, make_room, may_hold};
 use super::draft::Draft;
@@ -283,7 +283,7 @@
         task.checkpoint = checkpoint;
     }
     instance.clone_into(&mut task.instance);
-    metrics().decided("start");
+    metrics().count_decision("start");
     log::info!(
         "event=J150 run assigned task={id} attempt={} worker={instance} priority={} guaranteed={}",
         task.attempt,
@@ -295,7 +295,7 @@
 /// Opens the occurrences of a job up to the one that starts.
 fn open_occurrences_up_to(plan: &mut JobPlan, waiting: &WaitingStep) {
     while plan.next_occurrence <= waiting.occurrence {
-        plan.open.push(Occurrence::unbegun(&waiting.submission, plan.next_occurrence));
+        plan.open.push(Occurrence::not_started(&waiting.submission, plan.next_occurrence));
         plan.next_occurrence += 1;
     }
 }
--- a/crates/rampbay-jobs/src/planner/preempt.rs
+++ b/crates/rampbay-jobs/src/planner/preempt.rs
@@ -128,7 +128,7 @@
             for unit in self.units.at(place, self.need.priority) {
                 self.units
                     .held_at(unit, place)
-                    .for_each(|held| free.give_less(held, &mut overcommit));
+                    .for_each(|held| free.give_net_of(held, &mut overcommit));
             }
             left =
                 left.saturating_sub(u64::from(self.need.max_tasks_at(&free, self.present(index))));
@@ -163,7 +163,7 @@
             for (at, held) in &self.units.units[unit].held {
                 // What a gang holds elsewhere doesn't help here.
                 let Ok(index) = self.places.binary_search(at) else { continue };
-                self.free[index].give_less(held, &mut self.overcommit[index]);
+                self.free[index].give_net_of(held, &mut self.overcommit[index]);
                 changed.push(index);
             }
         }
@@ -231,7 +231,9 @@
             if !helps {
                 continue;
             }
-            self.units.held_at(unit, place).for_each(|held| free.give_less(held, &mut overcommit));
+            self.units
+                .held_at(unit, place)
+                .for_each(|held| free.give_net_of(held, &mut overcommit));
             stops.push(unit);
         }
         free.fits(demand).then_some(stops)
--- a/crates/rampbay-jobs/src/planner/queue.rs
+++ b/crates/rampbay-jobs/src/planner/queue.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use crate::account::{JobStatus, Occurrence, TaskPlan, TaskStatus};
 use crate::job::{EpochMillis, JobId, Step, Submission, TaskId, WorkspaceName};
+use crate::plan::{JobStatus, Occurrence, TaskPlan, TaskStatus};
 
 use super::RoundInputs;
 use super::draft::Draft;
@@ -105,7 +105,7 @@
         while next < submission.occurrence_count() && is_due(&submission, next, inputs.wall) {
             waiting.extend(ready_steps(
                 context,
-                &Occurrence::unbegun(&submission, next),
+                &Occurrence::not_started(&submission, next),
                 forecasts,
             ));
             next += 1;
