--- a/crates/rampbay-jobs/src/losses.rs
+++ b/crates/rampbay-jobs/src/losses.rs
@@ -1,11 +1,11 @@
-//! Runs that went with their workers: the account by which a task that crashes its workers is told from one that
-//! only stood beside it.
+//! Runs that were lost with their workers. They are recorded to tell a task that crashes its workers from one that only
+//! ran beside it.
 //!
-//! A run whose worker's life ends under it has no verdict of its own. Not counted, a task that crashes every worker it
-//! is started on is started for ever: 34 times in 115 s in the case that was played, with a worker down for 3.3 s each
-//! time. Counted like a failure, it would fail all that ran beside it. So each loss is kept with what speaks for or
-//! against the task, and a task is given up only where nothing else can have been the cause, or after as many losses
-//! as no other cause explains.
+//! A run that is lost with its worker's incarnation has no result. If losses weren't counted, a task that crashes
+//! every worker it is started on would be started for ever: 34 times in 115 s in a test case, with a worker down
+//! for 3.3 s each time. If they counted as failures, all tasks that ran beside it would fail. So each loss is kept
+//! with the evidence for or against the task, and a task is given up only if nothing else can have been the cause,
+//! or after more losses than other causes explain.
 
 use std::collections::BTreeMap;
 
@@ -13,29 +13,30 @@
 
 use crate::job::{EpochMillis, InstanceId, NodeName, TaskId};
 
-/// A run that may have begun at a life of a worker.
+/// A run that may have begun at a worker's incarnation and hadn't ended when that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InFlightRun {
     /// The task.
     pub task: TaskId,
-    /// The run.
+    /// Number of the run.
     pub attempt: u32,
-    /// How long before the report it was ordered or heard of first, in milliseconds.
+    /// Time from the first order or report of the run to this record, in milliseconds.
     pub age_ms: u64,
-    /// For how long its worker had listed it, in milliseconds; 0 if it never did.
+    /// Time for which its worker had listed it, in milliseconds; 0 if it never did.
     pub listed_ms: u64,
 }
 
-/// How a worker's life ended, as its agent or the leader knew it.
+/// How a worker's incarnation ended, as its agent or the leader knew it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LifeOver {
-    /// Whether the worker had given notice that it leaves. What went with it then is no reason to suspect a task.
+    /// Whether the worker had given notice that it leaves. Its lost runs then don't make any task suspect.
     pub gave_notice: bool,
-    /// Runs that may have begun there; `None` where that isn't known, and all that were assigned may have.
+    /// Runs that may have begun there; `None` if unknown, so that all assigned runs may have begun.
     pub runs: Option<Vec<InFlightRun>>,
 }
 
-/// Names tasks that are suspected together: a task, or all tasks of a gang, which stand under the first of them.
+/// Identifies tasks whose losses are counted together: a single task, or all tasks of a gang, by the index of the
+/// first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct UnitKey {
     /// Occurrence, from 0.
@@ -47,7 +48,7 @@
 }
 
 impl InFlightRun {
-    /// Returns whether its worker went soon after its start.
+    /// Returns whether its worker's incarnation ended soon after the start of the run.
     #[must_use]
     pub const fn ended_soon_after_start(&self) -> bool {
         self.listed_ms < SOON_AFTER_START_MS
@@ -63,75 +64,77 @@
     }
 }
 
-/// A run that went with its worker.
+/// A run that was lost with its worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LostRun {
-    /// The run; for a gang its common number.
+    /// Number of the run, which the members of a gang share.
     pub attempt: u32,
-    /// The worker's life.
+    /// The worker's incarnation.
     pub instance: InstanceId,
     /// The worker's agent.
     pub node: NodeName,
-    /// When the leader learned of it.
+    /// When the leader learned of the loss.
     pub at: EpochMillis,
-    /// Whether its agent knew that it may have begun; otherwise it was assigned there, and nobody knows.
+    /// Whether the agent reported that the run may have begun. If not, the run was only assigned there, and whether it
+    /// began is unknown.
     pub may_have_begun: bool,
-    /// Whether it may have begun, nothing else may have run there, and the worker went soon after the start. A worker
-    /// that goes by itself mostly does so later.
+    /// Whether the run may have begun, nothing else may have run there, and the worker was lost soon after the start.
+    /// Workers that are lost for other reasons mostly are so later.
     pub is_proof: bool,
-    /// Whether nothing there had been started after it. What crashes its worker mostly does so soon.
+    /// Whether nothing had been started there after the run. A task that crashes its worker mostly does so soon.
     pub was_youngest: bool,
 }
 
 impl LostRun {
-    /// Takes note that other workers went at the same moment: the cause isn't at the worker.
+    /// Clears the suspicion against the task, since other workers were lost at the same time: the cause isn't at this
+    /// worker.
     pub const fn clear_suspicion(&mut self) {
         self.is_proof = false;
         self.was_youngest = false;
     }
 }
 
-/// Losses that speak for a fault of the task, one of them beside others, before the task is given up.
+/// Number of losses, some of them proofs, from which a task is given up. One of them may have been beside other runs.
 const LOSSES_TO_GIVE_UP: usize = 3;
-/// Losses among them that prove something: no neighbour can have caused these.
+/// Number of proofs among them: losses that no other run at the worker can have caused.
 const PROOFS_TO_GIVE_UP: usize = 2;
-/// For how long a worker that goes soon after a start may have listed the run, in milliseconds: it lists what it has
-/// once a second at least.
+/// A worker was lost soon after a start if it had listed the run for less than this time, in milliseconds. Workers list
+/// their runs at least once a second.
 const SOON_AFTER_START_MS: u64 = 1000;
-/// Losses after which a task is given up however they came about: after the third crash two more starts are the most
-/// that users accept. From the third loss on it is kept apart before all others, so that it takes nobody with it, and
-/// hardly has a neighbour to blame.
+/// Number of losses from which a task is given up whatever their circumstances: users accept at most two more
+/// starts after the third crash. From the third loss on the task is isolated before others, so that it takes no
+/// other runs down with it, and hardly any other run can be the cause.
 const MAX_LOSSES: usize = 5;
-/// Time after a loss within which another one of the same unit counts only if the run may have begun, in milliseconds.
-/// Where many machines lose power, what was lost at one is assigned to the next, whose agent doesn't know yet that its
-/// worker is another: a task was lost at five machines within 0.5 s, and had run at the first one only. A machine that
-/// a task crashes takes longer to be back.
+/// Time after a loss within which another loss of the same unit counts only if the run may have begun, in
+/// milliseconds. If many machines lose power, a run that was lost at one is assigned to the next, whose agent
+/// doesn't know yet that its worker has been replaced: a task was lost at five machines within 0.5 s, and had run
+/// at the first one only. A machine that a task has crashed takes longer to return.
 const DUPLICATE_LOSS_WINDOW_MS: u64 = 2000;
-/// How long a loss counts, in milliseconds: an hour. A task that lasts for days loses its worker now and then.
+/// Time for which a loss counts, in milliseconds: an hour. A task that runs for days loses its worker now and then.
 const LOSS_RETENTION_MS: u64 = 3_600_000;
 
-/// How far a task is kept apart from others.
+/// The degree to which a task is isolated from others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Isolation {
-    /// It runs beside others.
+    /// It shares workers with others.
     #[default]
     None,
-    /// It gets a worker of its own where one is idle soon.
+    /// It gets a worker of its own if one becomes idle soon.
     Preferred,
-    /// It gets one before all others, and waits longer for it.
+    /// It gets a worker of its own before others of the same urgency, and waits longer for it.
     First,
 }
 
-/// What a unit has lost.
+/// The lost runs of a unit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnitLosses(pub Vec<LostRun>);
 
 impl UnitLosses {
-    /// Takes in a loss, once for each run, and forgets what no longer counts. Returns whether it counts.
+    /// Adds a loss, once for each run, and removes those that no longer count. Returns whether the loss counts.
     pub fn add(&mut self, lost: LostRun) -> bool {
         self.0.retain(|known| lost.at.saturating_sub(known.at) < LOSS_RETENTION_MS);
         if let Some(known) = self.0.iter_mut().find(|known| known.attempt == lost.attempt) {
-            // Another member of the gang: a worker where it had no neighbour doesn't clear the first one.
+            // Another member of the gang: the evidence of both members is combined, so neither clears the other.
             known.is_proof |= lost.is_proof;
             known.was_youngest |= lost.was_youngest;
             return false;
@@ -145,21 +148,21 @@
         true
     }
 
-    /// Returns whether the unit is at fault as far as can be told.
+    /// Returns whether the unit is given up, since its losses show that it crashes its workers.
     #[must_use]
     pub fn should_give_up(&self) -> bool {
         let is_proven = self.0.len() >= LOSSES_TO_GIVE_UP && self.proofs() >= PROOFS_TO_GIVE_UP;
         is_proven || self.0.len() >= MAX_LOSSES
     }
 
-    /// Counts the losses that prove something.
+    /// Counts the losses that are proofs: no other run can have caused them.
     #[must_use]
     pub fn proofs(&self) -> usize {
         self.0.iter().filter(|lost| lost.is_proof).count()
     }
 
-    /// Returns how far the unit is to be kept apart in its next run. After a single loss only what was started last
-    /// is: of many innocents that a crash takes down, each would take a worker of its own.
+    /// Returns the isolation of the unit's next run. After a single loss only a unit that was started last is isolated:
+    /// otherwise each of the many unrelated tasks that a crash takes down would take a worker of its own.
     #[must_use]
     pub fn isolation(&self) -> Isolation {
         match self.0.as_slice() {
@@ -176,19 +179,19 @@
         self.0.iter().map(|lost| lost.at).max()
     }
 
-    /// Returns whether one of them was at a machine.
+    /// Returns whether one of the losses occurred at a machine.
     #[must_use]
     pub fn occurred_at(&self, node: &str) -> bool {
         self.0.iter().any(|lost| lost.node == node)
     }
 }
 
-/// What the units of a job have lost.
+/// The lost runs of a job, by unit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobLosses(pub BTreeMap<UnitKey, UnitLosses>);
 
 impl JobLosses {
-    /// Forgets losses at workers whose lives turned out to go on: they were cut off, and nothing crashed them.
+    /// Discards losses at workers whose incarnations turned out to be alive: they were disconnected, not crashed.
     pub fn discard(&mut self, is_alive: impl Fn(&str) -> bool) {
         self.0.values_mut().for_each(|unit| unit.0.retain(|lost| !is_alive(&lost.instance)));
         self.0.retain(|_, unit| !unit.0.is_empty());
--- a/crates/rampbay-jobs/src/planner/departure.rs
+++ b/crates/rampbay-jobs/src/planner/departure.rs
@@ -11,7 +11,8 @@
 /// Work that a checkpointing run has at risk: the work since its last checkpoint, and the repeated start.
 const MAX_UNSAVED_WORK: Duration = Duration::from_millis(1500);
 /// Half the width of the range in which the actual remaining time lies around one computed from the run's own rate,
-/// as a share of it. Progress is reported in whole percents once a second, so it is a tenth off for a run of ten seconds.
+/// as a share of it. Progress is reported in whole percents once a second, so it is a tenth off for a run of ten
+/// seconds.
 const RATE_SPREAD: f64 = 0.25;
 /// Half the width of this range for a remaining time that is computed from an estimate alone.
 const ESTIMATE_SPREAD: f64 = 0.5;
--- a/crates/rampbay-jobs/src/planner/displace.rs
+++ b/crates/rampbay-jobs/src/planner/displace.rs
@@ -61,7 +61,7 @@
 
 /// Stops the victims of a preemption unless it costs more than `allowed`, and reserves their
 /// capacity for the step. Returns whether the step will fit.
-pub fn make_room(
+pub fn free_capacity(
     draft: &mut Draft<'_>,
     fleet: &mut FleetState,
     waiting: &WaitingStep,
--- a/crates/rampbay-jobs/src/planner/fit.rs
+++ b/crates/rampbay-jobs/src/planner/fit.rs
@@ -66,10 +66,10 @@
         let label = &self.step.required_label;
         let may_run = |worker: &WorkerState| {
             let is_held = worker.held_for.is_some_and(|held| held < self.priority);
-            let is_kept = worker.reserved && !self.uses_reserve;
+            let is_reserved = worker.reserved && !self.uses_reserve;
             worker.usable
                 && !is_held
-                && !is_kept
+                && !is_reserved
                 && worker.record.service == self.service
                 && (label.is_empty() || worker.record.labels.contains(label))
         };
@@ -235,8 +235,8 @@
     by_rack(fleet, need).iter().any(|(_, places)| could_hold(places))
 }
 
-/// Finds workers for `count` tasks in one rack. Prefers the rack of the data, then the one with fewer slower machines, then
-/// the one with the fewest free accelerators.
+/// Finds workers for `count` tasks in one rack. Prefers the rack of the data, then the one with fewer slower
+/// machines, then the one with the fewest free accelerators.
 pub fn place_in_rack(
     fleet: &FleetState,
     need: &Need<'_>,
--- a/crates/rampbay-jobs/src/planner/fleet_state.rs
+++ b/crates/rampbay-jobs/src/planner/fleet_state.rs
@@ -1,4 +1,4 @@
-//! Free room of all workers during a round.
+//! State of all workers during a round: what runs there, and which resources are free.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,66 +17,67 @@
 use super::workers::{WorkerView, WorkerViews};
 use super::{Planner, RoundInputs, StepKey, WorkerIndex};
 
-/// A worker during a round.
+/// State of a worker during a round.
 #[derive(Clone, Debug)]
 pub struct WorkerState {
     /// The worker's id.
     pub instance: InstanceId,
-    /// The worker.
+    /// The worker's record.
     pub record: Rc<WorkerRecord>,
-    /// Its rack, as a place in [`Rooms::racks`].
+    /// Its rack, as an index into [`FleetState::racks`].
     pub rack: usize,
-    /// What becomes free by stops under way.
+    /// Resources that become free by stops in progress.
     pub freed_soon: Resources,
-    /// Whether it may get work.
+    /// Whether it may be assigned work.
     pub usable: bool,
-    /// How fast its machine is.
+    /// Speed class of its machine.
     pub speed: MachineSpeed,
-    /// Whether it failed or refused lately, or is slow now.
+    /// Whether it failed a run or refused a start recently, or is slow now.
     pub avoided: bool,
-    /// Whether its agent hasn't reported since the last outage of the reports: it may be gone.
+    /// Whether its agent hasn't reported since the last outage of the reports, so that it may be gone.
     pub unconfirmed: bool,
-    /// Priority of a gang that waits for room here; less urgent work is kept away.
+    /// Priority of a gang that waits for this worker; less urgent work isn't placed here.
     pub held_for: Option<u32>,
-    /// Whether it is kept for urgent work.
+    /// Whether it is reserved for urgent work.
     pub reserved: bool,
 }
 
-/// All workers and what runs there.
+/// State of all workers, and the runs there.
 #[derive(Debug, Default)]
 pub struct FleetState {
     /// The workers.
     pub workers: Vec<WorkerState>,
-    /// What is free now at each worker. Apart from the rooms, so that a trial copies little.
+    /// Resources that are free now at each worker. Kept apart from `workers`, so that a trial copies little.
     pub free: Vec<Resources>,
     /// Names of the racks, sorted.
     pub racks: Vec<String>,
     /// The workers of each rack.
     in_rack: Vec<Vec<WorkerIndex>>,
-    /// What runs.
+    /// The runs, except those that are being stopped.
     pub running: Vec<RunningTask>,
-    /// What may be stopped; worked out once something has to be.
+    /// The runs, grouped into the units that are stopped together; computed when first needed.
     pub units: Option<Units>,
-    /// What each worker holds beyond what it has: its room has shrunk. What becomes free pays that off first.
+    /// Resources in use at each worker beyond its capacity, which has shrunk. Resources that become free reduce
+    /// this first.
     pub overcommit: Vec<Resources>,
-    /// Runs at each worker, those that are being stopped among them.
+    /// Number of runs at each worker, including those that are being stopped.
     runs: Vec<u32>,
-    /// Workers that nothing may join: a task runs there alone, or is to.
+    /// Whether each worker is closed to further tasks, since an isolated task runs or will run there.
     closed: Vec<bool>,
-    /// How many workers are held for gangs.
+    /// Number of workers that are held for gangs.
     pub held: usize,
-    /// What found no place in one rack.
+    /// Demands that fit into no rack.
     pub infeasible_in_rack: InfeasibleDemands,
-    /// What found no place anywhere.
+    /// Demands that fit nowhere.
     pub infeasible: InfeasibleDemands,
-    /// What wouldn't fit anywhere if all that may be stopped were.
+    /// Demands that would fit nowhere even if all runs that may be stopped were.
     pub infeasible_with_preemption: InfeasibleDemands,
-    /// Tasks at each worker, of the steps that limit them.
+    /// Number of tasks at each worker, for the steps that limit it.
     limited: BTreeMap<StepKey, Vec<u32>>,
 }
 
 impl FleetState {
-    /// Works out the room of all workers.
+    /// Computes the state of all workers from the table and the draft.
     pub fn new(
         planner: &Planner,
         draft: &Draft<'_>,
@@ -162,12 +163,12 @@
         }
     }
 
-    /// Takes note that something becomes free by a stop.
+    /// Records that resources become free by a stop.
     pub fn add_freed_soon(&mut self, place: WorkerIndex, held: &Resources) {
         self.workers[place].freed_soon.give_net_of(held, &mut self.overcommit[place]);
     }
 
-    /// Closes the workers where runs of a job are kept apart from others.
+    /// Marks the workers where isolated runs of a job are as closed.
     fn close_for_job(
         &mut self,
         draft: &Draft<'_>,
@@ -185,23 +186,23 @@
         }
     }
 
-    /// Lets nothing join what runs at a worker.
+    /// Closes a worker to further tasks.
     pub fn close(&mut self, place: WorkerIndex) {
         self.closed[place] = true;
         self.free[place] = Resources::default();
     }
 
-    /// Returns whether nothing may join what runs at a worker.
+    /// Returns whether a worker is closed to further tasks.
     pub fn is_closed(&self, place: WorkerIndex) -> bool {
         self.closed[place]
     }
 
-    /// Counts the workers that nothing may join.
+    /// Counts the workers that are closed to further tasks.
     pub fn closed_count(&self) -> usize {
         self.closed.iter().filter(|closed| **closed).count()
     }
 
-    /// Returns whether nothing runs at a worker, and something may.
+    /// Returns whether nothing runs at a worker that isn't closed.
     pub fn is_idle(&self, place: WorkerIndex) -> bool {
         self.runs[place] == 0 && !self.closed[place]
     }
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Returns how many tasks of a step are at each of some workers, if the step limits that.
+    /// Returns how many tasks of a step are at each of some workers, if the step limits this number.
     pub fn members(&self, step: &Step, key: &StepKey, places: &[WorkerIndex]) -> Option<Vec<u32>> {
         if step.max_per_worker == 0 {
             return None;
@@ -229,21 +230,21 @@
         places.map(|&place| self.free[place].devices).sum()
     }
 
-    /// Takes one task's room at a worker.
+    /// Takes the resources of one task at a worker.
     pub fn occupy(&mut self, place: WorkerIndex, step: &Step, key: &StepKey) {
         self.free[place].take(&step.charge());
         self.runs[place] += 1;
         self.count_limited((&key.0, key.1, key.2), step, place);
     }
 
-    /// Keeps one task's room at a worker, first out of what becomes free soon.
+    /// Reserves the resources of one task at a worker, first out of those that become free soon.
     pub fn reserve(&mut self, place: WorkerIndex, step: &Step, key: &StepKey) {
         let worker = &mut self.workers[place];
         let free = self.free[place];
         let mut total = free;
         total.give(&worker.freed_soon);
         total.take(&step.charge());
-        // What is free now and still left belongs to others; the rest comes with the stops.
+        // What is still free now remains available to others; the rest becomes free by the stops.
         let left = Resources {
             cpu_milli: free.cpu_milli.min(total.cpu_milli),
             memory_mb: free.memory_mb.min(total.memory_mb),
--- a/crates/rampbay-jobs/src/planner/forecast.rs
+++ b/crates/rampbay-jobs/src/planner/forecast.rs
@@ -11,7 +11,8 @@
 
 /// Smallest number of estimates from which a queue's mean is used.
 const MIN_ESTIMATES: usize = 5;
-/// Variance of the logarithm of actual durations within a queue; any greater variance of the estimates is taken as error.
+/// Variance of the logarithm of actual durations within a queue; any greater variance of the estimates is taken as
+/// error.
 const EXPECTED_LOG_VARIANCE: f64 = 0.16;
 
 /// Statistics of the estimates of one queue.
--- a/crates/rampbay-jobs/src/planner/infeasible.rs
+++ b/crates/rampbay-jobs/src/planner/infeasible.rs
@@ -1,8 +1,8 @@
 //! Demands that couldn't be placed earlier in a round. A demand for as much or more can't be placed either.
 //!
-//! Under load most waiting steps fit nowhere. A search for each step costs the number of waiting steps times the size of
-//! the fleet: on 2,500 workers each worker was examined some 100 times a round. Free capacity only shrinks in a round, so
-//! one search for each demand is enough.
+//! Under load most waiting steps fit nowhere. A search for each step costs the number of waiting steps times the
+//! size of the fleet: on 2,500 workers each worker was examined some 100 times a round. Free capacity only shrinks
+//! in a round, so one search for each demand is enough.
 
 use crate::job::{Resources, ServiceName};
 
@@ -37,7 +37,8 @@
 }
 
 impl InfeasibleDemands {
-    /// Returns whether `count` tasks of a step can't be placed, since as many or fewer with demands no greater couldn't.
+    /// Returns whether `count` tasks of a step can't be placed, since as many or fewer with demands no greater
+    /// couldn't.
     pub fn covers(&self, need: &Need<'_>, count: usize) -> bool {
         self.0.iter().any(|demand| demand.rules_out(need, count))
     }
--- a/crates/rampbay-jobs/src/planner/lost.rs
+++ b/crates/rampbay-jobs/src/planner/lost.rs
@@ -18,8 +18,8 @@
 /// Runs that were started within this time of each other, in milliseconds, count as equally old. It is more than the
 /// orders of one round take to reach a worker.
 const SAME_AGE_MS: u64 = 100;
-/// Largest number of units that are suspected as the youngest at a worker. If more are of the same age, none of them is:
-/// isolating each would take a third of the fleet after a crash that none of them caused.
+/// Largest number of units that are suspected as the youngest at a worker. If more are of the same age, none of
+/// them is: isolating each would take a third of the fleet after a crash that none of them caused.
 const MAX_YOUNGEST_UNITS: usize = 2;
 /// Time within which lost workers count as lost at once: agents notice a loss within the second between heartbeats.
 const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(1000);
--- a/crates/rampbay-jobs/src/planner/place.rs
+++ b/crates/rampbay-jobs/src/planner/place.rs
@@ -5,7 +5,7 @@
 use crate::metrics::metrics;
 use crate::plan::{JobPlan, JobStatus, Occurrence, TaskStatus};
 
-use super::displace::{Scope, allowed_for, find_preemption, hold_workers, make_room, may_hold};
+use super::displace::{Scope, allowed_for, find_preemption, free_capacity, hold_workers, may_hold};
 use super::draft::Draft;
 use super::fit::{Need, Trial, place_all, place_in_rack};
 use super::fleet_state::FleetState;
@@ -121,7 +121,7 @@
         };
         if let Some(found) = &in_rack
             && allowed > 0
-            && make_room(draft, fleet, waiting, need, found, allowed)
+            && free_capacity(draft, fleet, waiting, need, found, allowed)
         {
             return Some(Wait::new(waiting, count, WaitReason::StopsUnderWay, inputs));
         }
@@ -140,7 +140,7 @@
     if may_displace
         && let Some(found) = find_preemption(fleet, need, count, Scope::Anywhere, inputs)
     {
-        if allowed > 0 && make_room(draft, fleet, waiting, need, &found, allowed) {
+        if allowed > 0 && free_capacity(draft, fleet, waiting, need, &found, allowed) {
             return Some(Wait::new(waiting, count, WaitReason::StopsUnderWay, inputs));
         }
         hold_workers(fleet, waiting, &found);
@@ -229,7 +229,7 @@
         return false;
     }
     let found = find_preemption(fleet, need, 1, Scope::Anywhere, inputs);
-    found.is_some_and(|found| make_room(draft, fleet, waiting, need, &found, allowed))
+    found.is_some_and(|found| free_capacity(draft, fleet, waiting, need, &found, allowed))
 }
 
 /// Lists the workers where the tasks of a step may be placed now: those near their data, or all
--- a/crates/rampbay-jobs/src/planner/power_loss.rs
+++ b/crates/rampbay-jobs/src/planner/power_loss.rs
@@ -1,8 +1,9 @@
 //! Detects power losses, in which several machines lose their workers and their agent processes at once.
 //!
-//! If a task crashes its worker, the agent on that machine survives, and reports what ran there. If the agent process was
-//! lost as well, no such report comes. One such machine isn't conclusive; several at once have a common cause, which is none
-//! of the tasks. The stored losses show this to any leader, including one that was elected later.
+//! If a task crashes its worker, the agent on that machine survives, and reports what ran there. If the agent
+//! process was lost as well, no such report comes. One such machine isn't conclusive; several at once have a common
+//! cause, which is none of the tasks. The stored losses show this to any leader, including one that was elected
+//! later.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,8 +13,8 @@
 use super::RoundInputs;
 use super::draft::Draft;
 
-/// Time within which lost machines count as lost at once, in milliseconds. It covers the time until all are back and the
-/// leader knows of it.
+/// Time within which lost machines count as lost at once, in milliseconds. It covers the time until all are back
+/// and the leader knows of it.
 const COMMON_CAUSE_WINDOW_MS: u64 = 3000;
 /// Number of machines lost at once from which a common cause is assumed.
 const COMMON_CAUSE_MACHINES: usize = 3;
--- a/crates/rampbay-jobs/src/planner/preempt.rs
+++ b/crates/rampbay-jobs/src/planner/preempt.rs
@@ -1,4 +1,4 @@
-//! Chooses what is stopped for more urgent work: whatever loses the least.
+//! Chooses which runs are stopped for more urgent work, so that the least work is lost.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -12,16 +12,16 @@
 use super::speed::MachineSpeed;
 use super::units::{UnitIndex, Units};
 
-/// What to stop, and where the tasks will then fit.
+/// The units to stop, and the workers where the tasks will then fit.
 #[derive(Clone, Debug)]
 pub struct Preemption {
     /// The units to stop.
     pub victims: Vec<UnitIndex>,
     /// Workers, one for each task.
     pub places: Vec<WorkerIndex>,
-    /// Work that the stops throw away, in thousandths of core-seconds.
+    /// Work that is lost by the stops, in thousandths of core-seconds.
     pub lost_work: u64,
-    /// The same, more for more urgent work and for what was started often.
+    /// The lost work, weighted higher for more urgent work and for runs that were started often.
     pub cost: u64,
 }
 
@@ -40,7 +40,8 @@
 }
 
 /// Finds the cheapest stops of less urgent work after which `count` tasks fit, in one rack if the
-/// step wants that and it can be. They are known to fit if all that may be stopped is ([`could_fit`]).
+/// step wants that and it is possible. The caller has checked with [`could_fit`] that the tasks fit
+/// if all units that may be stopped are.
 pub fn preempt(
     fleet: &FleetState,
     units: &Units,
@@ -52,38 +53,40 @@
     in_rack.or_else(|| Search::new(fleet, units, need, need.eligible(fleet)).place_all(count))
 }
 
-/// Returns whether `count` tasks would fit if all that may be stopped for them were.
+/// Returns whether `count` tasks would fit if all units that may be stopped for them were.
 pub fn could_fit(fleet: &FleetState, units: &Units, need: &Need<'_>, count: usize) -> bool {
     Search::new(fleet, units, need, need.eligible(fleet)).could_hold(count)
 }
 
-/// How badly a worker suits: avoided, not heard of, slower, cost of the stops, accelerators free.
+/// Rank of a worker, lower is better: avoided, no report since the last outage, slower machine, cost of the stops, free
+/// accelerators.
 type Rank = (bool, bool, bool, u64, u64);
 
-/// What one task costs at a worker.
+/// The units that would have to be stopped at a worker for one more task, and the worker's rank.
 struct Candidate {
     rank: Rank,
     stops: Vec<UnitIndex>,
 }
 
-/// Places task after task, each where the stops that it needs cost least. All that it holds is by the index of a place
-/// among those that it searches.
+/// Places one task after the other, each where the stops that it needs cost least. Its lists are indexed by the
+/// position of a worker in `places`.
 struct Search<'a> {
     fleet: &'a FleetState,
     units: &'a Units,
     need: &'a Need<'a>,
-    /// The places, in rising order.
+    /// The workers that are searched, in ascending order.
     places: &'a [WorkerIndex],
-    /// What is free at each place, now or by stops that are under way or chosen.
+    /// Resources that are free at each worker, or become free by stops that are in progress or chosen.
     free: Vec<Resources>,
-    /// What each place holds beyond what it has.
+    /// Resources in use at each worker beyond its capacity.
     overcommit: Vec<Resources>,
     members: Option<Vec<u32>>,
     victims: BTreeSet<UnitIndex>,
-    /// Offers of the places, worked out once and again after each change there.
+    /// One candidate for each worker, computed at the first task and after each change at the worker.
     candidates: Vec<Option<Candidate>>,
-    /// The ranks of the offers, the best first, and of some that have changed since. Looked through for each task, the
-    /// offers were two fifths of a round on 2,500 workers: the width of gangs times the size of the fleet.
+    /// The ranks of the candidates, the best first, with some outdated ones among them. A linear search of the
+    /// candidates for each task took two fifths of a round on 2,500 workers, as it costs the width of gangs times
+    /// the size of the fleet.
     ranked: BinaryHeap<Reverse<(Rank, usize)>>,
 }
 
@@ -120,7 +123,7 @@
         self.members.as_ref().map_or(0, |members| members[index])
     }
 
-    /// Returns whether `count` tasks would fit if all that may be stopped were.
+    /// Returns whether `count` tasks would fit if all units that may be stopped were.
     fn could_hold(&self, count: usize) -> bool {
         let mut left = count as u64;
         for (index, &place) in self.places.iter().enumerate() {
@@ -139,7 +142,7 @@
         left == 0
     }
 
-    /// Finds places for `count` tasks, or for none.
+    /// Places `count` tasks, or none.
     fn place_all(mut self, count: usize) -> Option<Preemption> {
         let places: Option<Vec<WorkerIndex>> = (0..count).map(|_| self.place_one()).collect();
         let places = places?;
@@ -161,7 +164,7 @@
         for unit in stops {
             self.victims.insert(unit);
             for (at, held) in &self.units.units[unit].held {
-                // What a gang holds elsewhere doesn't help here.
+                // What a gang holds at workers that aren't searched doesn't help.
                 let Ok(index) = self.places.binary_search(at) else { continue };
                 self.free[index].give_net_of(held, &mut self.overcommit[index]);
                 changed.push(index);
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Takes the best offer: its place and its stops.
+    /// Takes the best candidate, and returns its index and the units to stop. Skips outdated ranks.
     fn take_cheapest(&mut self) -> Option<(usize, Vec<UnitIndex>)> {
         while let Some(Reverse((rank, index))) = self.ranked.pop() {
             let candidate = self.candidates[index].take_if(|candidate| candidate.rank == rank);
@@ -196,7 +199,7 @@
         None
     }
 
-    /// Returns what one more task costs at a place, if it can be placed there.
+    /// Returns the candidate for one more task at a worker, if the task can be placed there.
     fn candidate(&self, index: usize) -> Option<Candidate> {
         let max = self.need.step.max_per_worker;
         if max > 0 && self.present(index) >= max {
@@ -210,7 +213,7 @@
         Some(Candidate { rank, stops })
     }
 
-    /// Returns the cheapest units to stop so that one task fits at a place.
+    /// Returns the cheapest units to stop so that one task fits at a worker.
     fn cheapest_stops_at(&self, index: usize) -> Option<Vec<UnitIndex>> {
         let place = self.places[index];
         let demand = &self.need.demand;
--- a/crates/rampbay-jobs/src/planner/progress.rs
+++ b/crates/rampbay-jobs/src/planner/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of all runs, as the agents report it.
+//! Progress of all runs, as reported by the agents.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,26 +12,26 @@
 /// A run's latest progress.
 #[derive(Clone, Debug)]
 pub struct ObservedProgress {
-    /// How far it is, 0 to 100.
+    /// Progress, 0 to 100.
     pub percent: u32,
-    /// When it came there.
+    /// When this percentage was first reported.
     pub unchanged_since: Instant,
-    /// When its agent saw it first.
+    /// When its agent first saw the run.
     pub first_seen: Instant,
-    /// What it saved last.
+    /// Its latest checkpoint.
     pub checkpoint: Checkpoint,
-    /// Where it runs.
+    /// Its worker.
     pub instance: InstanceId,
-    /// How fast it gets on.
+    /// Rate of its progress.
     pub rate: Rate,
 }
 
-/// How fast a run gets on, measured between two of its agent's listings.
+/// Rate of a run's progress, measured between two reports of its agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rate {
-    /// Percent a second over the last interval, if there was one.
+    /// Percent a second over the last interval, if one was measured.
     pub percent_per_s: Option<f64>,
-    /// Number of intervals.
+    /// Number of measured intervals.
     pub intervals: u32,
     begin_percent: u32,
     begin_ran_ms: u64,
@@ -45,10 +45,10 @@
         Self { begin_percent: run.percent, begin_ran_ms: run.ran_ms, ..Self::default() }
     }
 
-    /// Takes in where the run is now.
+    /// Returns the rate after another report on the run.
     fn advance(self, run: &RunProgress) -> Self {
         let Some(interval) = run.ran_ms.checked_sub(self.begin_ran_ms) else {
-            // Its agent has started again.
+            // The agent process was restarted, so it counts the run's time anew.
             return Self::begin(run);
         };
         if interval < MIN_INTERVAL_MS || run.percent >= FULL_PERCENT {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Progress of a run that is done, or waits for the other members of its gang.
+/// Progress of a run that is done or waits for the other members of its gang, in percent.
 pub const FULL_PERCENT: u32 = 100;
 
 /// A run and its progress.
@@ -81,16 +81,16 @@
     }
 }
 
-/// The runs that are known at a worker.
+/// The known runs of a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct RunsAt<'a> {
     listed: &'a [ObservedRun],
-    /// Runs that are listed no longer.
+    /// Runs that are no longer reported.
     ended: &'a [ObservedRun],
 }
 
 impl<'a> RunsAt<'a> {
-    /// Returns the progress of one of them.
+    /// Returns the progress of a run, if it is among them.
     pub fn find(&self, task: &TaskId, attempt: u32) -> Option<&'a ObservedProgress> {
         let mut runs = self.listed.iter().chain(self.ended);
         runs.find(|run| run.matches(task, attempt)).map(|run| &run.seen)
@@ -102,18 +102,18 @@
 struct Report {
     received_at: Instant,
     silent: Duration,
-    /// What it lists.
+    /// The runs that it lists.
     runs: Vec<ObservedRun>,
 }
 
-/// What an agent's latest report says of it.
+/// How recent an agent's latest report is, and what it says of the worker.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportView {
-    /// How long the agent hasn't reported, while reports could be read.
+    /// Time since the agent's last report, as far as reports could be read.
     pub age: Duration,
-    /// How long its worker hadn't answered it at the report.
+    /// Time for which the worker hadn't answered the agent when it reported.
     pub silent: Duration,
-    /// Whether it has reported since reports could last be read again.
+    /// Whether the agent has reported since the end of the last outage of the reports.
     pub has_reported: bool,
 }
 
@@ -121,20 +121,20 @@
 #[derive(Debug, Default)]
 pub struct ProgressTable {
     reports: BTreeMap<InstanceId, Report>,
-    /// Runs that are listed no longer, by their workers.
+    /// Runs that are no longer reported, by worker.
     ended: BTreeMap<InstanceId, Vec<ObservedRun>>,
-    /// Rises with each report.
+    /// Incremented with each report.
     version: u64,
-    /// Reports older than this time may be missing only because none could be read.
+    /// End of the last outage of the reports: a report from before may be missing only because it couldn't be read.
     readable_since: Option<Instant>,
     last_read: Option<Instant>,
 }
 
-/// Time between reads beyond which the reports' ages say nothing about the agents.
+/// Longest time between two reads; after a longer one the ages of reports say nothing about the agents.
 const MAX_READ_GAP: Duration = Duration::from_millis(1500);
 
 impl ProgressTable {
-    /// Takes note that the reports could be read at this time.
+    /// Records that the reports could be read at a time.
     pub fn note_read(&mut self, now: Instant) {
         let gap = self.last_read.is_none_or(|last| now - last > MAX_READ_GAP);
         if gap {
@@ -143,13 +143,13 @@
         self.last_read = Some(now);
     }
 
-    /// Returns a number that rises with each report.
+    /// Returns a number that is incremented with each report.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns what an agent's latest report says of it.
+    /// Returns how recent the latest report on a worker is, and how long the worker has been silent.
     pub fn report(&self, instance: &str, now: Instant) -> ReportView {
         let report = self.reports.get(instance);
         let silent = report.map_or(Duration::ZERO, |report| report.silent);
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Returns when the latest report on a worker came.
+    /// Returns when the latest report on a worker was received.
     pub fn reported_at(&self, instance: &str) -> Option<Instant> {
         self.reports.get(instance).map(|report| report.received_at)
     }
@@ -176,7 +176,7 @@
         self.runs_at(instance).find(task, attempt)
     }
 
-    /// Returns the runs that are known at a worker.
+    /// Returns the known runs of a worker.
     pub fn runs_at(&self, instance: &str) -> RunsAt<'_> {
         RunsAt {
             listed: self.reports.get(instance).map_or(&[], |report| &report.runs),
@@ -184,14 +184,14 @@
         }
     }
 
-    /// Iterates over all runs that are known, worker by worker.
+    /// Iterates over all known runs, first the reported ones and then those no longer reported.
     pub fn runs(&self) -> impl Iterator<Item = (&TaskId, u32, &ObservedProgress)> {
         let listed = self.reports.values().flat_map(|report| &report.runs);
         let ended = self.ended.values().flatten();
         listed.chain(ended).map(|run| (&run.task, run.attempt, &run.seen))
     }
 
-    /// Returns how long a run's reports have said the same. Time without reports doesn't count.
+    /// Returns the time for which a run's reported progress hasn't changed. Time without reports doesn't count.
     pub fn unchanged_for(&self, seen: &ObservedProgress) -> Duration {
         let report = self.reports.get(&seen.instance);
         report.map_or(Duration::ZERO, |r| {
@@ -199,7 +199,7 @@
         })
     }
 
-    /// Takes in a report.
+    /// Applies a report.
     pub fn insert(&mut self, instance: &str, report: ProgressReport, now: Instant) {
         self.version += 1;
         let mut before = self.reports.remove(instance).map_or_else(Vec::new, |known| known.runs);
@@ -234,7 +234,7 @@
         ObservedRun { task: run.task, attempt: run.attempt, seen }
     }
 
-    /// Keeps runs that are listed no longer for a while.
+    /// Keeps runs that are no longer reported for [`ENDED_RETENTION`].
     fn retain_ended(&mut self, instance: &str, mut over: Vec<ObservedRun>, now: Instant) {
         over.retain(|run| {
             now.saturating_duration_since(run.seen.unchanged_since) < ENDED_RETENTION
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Forgets a worker's report, and keeps for a while what its runs saved.
+    /// Removes a worker's report, and keeps its runs with their checkpoints for a while.
     fn forget(&mut self, instance: &str, now: Instant) {
         self.version += 1;
         let mut runs = self.reports.remove(instance).map_or_else(Vec::new, |known| known.runs);
@@ -255,12 +255,13 @@
     }
 }
 
-/// Returns when a run was first seen by its agent. A planner that takes over so knows how old runs are.
+/// Returns when a run was first seen by its agent, computed from the report, so that a planner that takes over
+/// knows the ages of runs.
 fn first_seen_at(run: &RunProgress, now: Instant) -> Instant {
     now.checked_sub(Duration::from_millis(run.ran_ms)).unwrap_or(now)
 }
 
-/// How long the progress of a run that is no longer listed is kept, for its checkpoint.
+/// Time for which the progress of a run that is no longer reported is kept, for its checkpoint.
 const ENDED_RETENTION: Duration = Duration::from_secs(30);
 
 impl Sink for ProgressTable {
--- a/crates/rampbay-jobs/src/planner/queue.rs
+++ b/crates/rampbay-jobs/src/planner/queue.rs
@@ -1,4 +1,4 @@
-//! What waits for a place, in the order in which it is looked at.
+//! The steps that wait for workers, in the order in which they are placed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -10,49 +10,49 @@
 use super::draft::Draft;
 use super::forecast::Forecasts;
 
-/// Time of waiting that counts as half the work.
+/// Waiting time, in milliseconds, after which the work of a step counts half.
 const AGING_MS: u64 = 10_000;
 
-/// A step some of whose tasks wait and may start.
+/// A step of which some tasks wait and may start.
 #[derive(Clone, Debug)]
 pub struct WaitingStep {
     /// Its job.
     pub job: JobId,
-    /// What was submitted.
+    /// The job's submission.
     pub submission: Rc<Submission>,
     /// Its occurrence.
     pub occurrence: u32,
-    /// Its number.
+    /// Its number in the job.
     pub step: u32,
     /// Indices of the tasks that wait.
     pub tasks: Vec<u32>,
-    /// Whether it lies within its workspace's guarantee.
+    /// Whether it is covered by its workspace's guarantee.
     pub guaranteed: bool,
-    /// Since when it might have started, as far as is known.
+    /// Time from which it could have started, as far as is known.
     pub waits_since: EpochMillis,
-    /// How long one of its tasks is expected to take.
+    /// Expected duration of one of its tasks, in milliseconds.
     pub duration_ms: u64,
-    /// When it has to start so that the job ends in time.
+    /// Latest start time at which the job still ends in time.
     pub latest_start: EpochMillis,
 }
 
 impl WaitingStep {
-    /// Returns what was submitted as the step.
+    /// Returns the step as it was submitted.
     pub fn definition(&self) -> &Step {
         &self.submission.steps[self.step as usize]
     }
 
-    /// Names one of its tasks.
+    /// Returns the id of one of its tasks.
     pub fn task(&self, index: u32) -> TaskId {
         TaskId { job: self.job.clone(), occurrence: self.occurrence, step: self.step, index }
     }
 
-    /// Returns whether it goes before all that isn't urgent.
+    /// Returns whether it is urgent: guaranteed, or of the highest priority.
     pub fn is_urgent(&self) -> bool {
         self.guaranteed || self.submission.priority == 0
     }
 
-    /// Returns what it goes by before all else: less comes first.
+    /// Returns its primary sort key; a lower one comes first.
     pub fn urgency(&self) -> (bool, u32) {
         (!self.guaranteed, self.submission.priority)
     }
@@ -63,24 +63,24 @@
         weight * self.duration_ms / 1000 * self.tasks.len() as u64
     }
 
-    /// Returns how long it has waited, in milliseconds.
+    /// Returns the time that it has waited, in milliseconds.
     pub fn waited_ms(&self, wall: EpochMillis) -> u64 {
         wall.saturating_sub(self.waits_since)
     }
 
-    /// Returns whether the job is expected not to end in time any more.
+    /// Returns whether the job is no longer expected to end in time.
     pub fn is_late(&self, wall: EpochMillis) -> bool {
         wall > self.latest_start
     }
 
-    /// Returns the work, less for what has waited long: little work goes first, and nothing waits
-    /// for ever.
+    /// Returns the work, reduced by the waiting time: steps with little work go first, and no step
+    /// waits for ever.
     fn aged_work(&self, wall: EpochMillis) -> u64 {
         self.work() * AGING_MS / (AGING_MS + self.waited_ms(wall))
     }
 }
 
-/// Lists what waits: guaranteed work first, then by priority, what can still end in time, and work.
+/// Lists the waiting steps: guaranteed ones first, then by priority, those that can still end in time, and by work.
 pub fn waiting_steps(
     draft: &Draft<'_>,
     inputs: &RoundInputs<'_>,
@@ -120,7 +120,7 @@
     waiting
 }
 
-/// A job, and what its steps go by.
+/// A job, with what its waiting steps are built from.
 #[derive(Clone, Copy, Debug)]
 struct JobContext<'a> {
     id: &'a JobId,
--- a/crates/rampbay-jobs/src/planner/rack.rs
+++ b/crates/rampbay-jobs/src/planner/rack.rs
@@ -5,19 +5,19 @@
 use super::fleet_state::FleetState;
 use super::queue::WaitingStep;
 
-/// How long a gang that wants one rack waits for it before it is spread over several. Spread, it
-/// holds its room several times as long, so on a busy fleet the wait is long.
+/// Time for which a gang that wants one rack waits for it before it is spread over several. A spread
+/// gang holds its resources several times as long, so on a busy fleet the wait is long.
 const MAX_RACK_WAIT_MS: u64 = 12_000;
-/// The same for urgent work, which ends late anyway if it is spread.
+/// This time for urgent work, which ends late anyway if it is spread.
 const MAX_RACK_WAIT_URGENT_MS: u64 = 8000;
-/// The same for guaranteed work, which has to start in time.
+/// This time for guaranteed work, which has to start in time.
 const MAX_RACK_WAIT_GUARANTEED_MS: u64 = 700;
-/// The same while much of the fleet is free.
+/// This time while much of the fleet is free.
 const MAX_RACK_WAIT_IDLE_MS: u64 = 1500;
 /// Share of the accelerators in use below which much of the fleet is free, in percent.
 const IDLE_BELOW_PERCENT: u64 = 60;
 
-/// Returns how long a gang that wants one rack waits for it before it is spread over several.
+/// Returns the time for which a gang that wants one rack waits for it before it is spread over several.
 fn max_rack_wait_ms(waiting: &WaitingStep, fleet: &FleetState) -> u64 {
     if waiting.guaranteed {
         return MAX_RACK_WAIT_GUARANTEED_MS;
@@ -28,8 +28,8 @@
     if waiting.is_urgent() { MAX_RACK_WAIT_URGENT_MS } else { MAX_RACK_WAIT_MS }
 }
 
-/// Returns whether a gang goes into one rack or waits: it wants that, has not waited too long, and
-/// there is a rack that could hold it.
+/// Returns whether a gang is placed in one rack or else waits: it wants one rack, hasn't waited too
+/// long, and some rack could hold it if nothing else ran there.
 pub fn requires_one_rack(
     waiting: &WaitingStep,
     fleet: &FleetState,
--- a/crates/rampbay-jobs/src/planner/reserve.rs
+++ b/crates/rampbay-jobs/src/planner/reserve.rs
@@ -1,8 +1,8 @@
-//! Workers that are kept for urgent work.
+//! Workers that are reserved for urgent work.
 //!
-//! Urgent work has little time: room that must first be made by stops comes late, and what was stopped
-//! is thrown away. Other work has time. So some workers take only urgent work, unless the rest would
-//! end late without them.
+//! Urgent work has little time: capacity that must first be freed by stops comes late, and the work of
+//! the stopped runs is lost. Other work has time. So some workers take only urgent work, and other work
+//! only if it would end late without them.
 
 use crate::job::EpochMillis;
 
@@ -10,19 +10,19 @@
 use super::fleet_state::FleetState;
 use super::queue::WaitingStep;
 
-/// Share of the usable workers that is kept for urgent work, in percent.
+/// Share of the usable workers that is reserved for urgent work, in percent.
 const RESERVE_PERCENT: usize = 15;
 /// Time before its latest start from which work that isn't urgent may use the reserve, in
 /// milliseconds: half of the time that a task of most queues takes.
 const RESERVE_LEAD_TIME_MS: u64 = 4_000;
 
-/// Returns whether a step may use the workers that are kept for urgent work.
+/// Returns whether a step may use the workers that are reserved for urgent work.
 pub fn may_use_reserve(waiting: &WaitingStep, wall: EpochMillis) -> bool {
     waiting.is_urgent() || wall + RESERVE_LEAD_TIME_MS > waiting.latest_start
 }
 
-/// Chooses the workers that are kept for urgent work: those that run nothing else, close together, so
-/// that gangs for one rack find room there.
+/// Chooses the workers that are reserved for urgent work: those that run nothing else, sorted by rack,
+/// so that gangs that want one rack fit there.
 pub fn choose_reserve(fleet: &mut FleetState) {
     let max = fleet.workers.iter().filter(|worker| worker.usable).count() * RESERVE_PERCENT / 100;
     let mut is_occupied = vec![false; fleet.workers.len()];
--- a/crates/rampbay-jobs/src/planner/running.rs
+++ b/crates/rampbay-jobs/src/planner/running.rs
@@ -1,4 +1,4 @@
-//! Runs that may be stopped for other work, and what a stop throws away.
+//! Runs that may be stopped for other work, and the work that a stop loses.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use super::WorkerIndex;
 use super::progress::RunsAt;
 
-/// Work since the last checkpoint of a run that saves its progress, at most.
+/// Largest work since the last checkpoint of a run that saves checkpoints.
 const MAX_UNSAVED_WORK: Duration = Duration::from_millis(800);
-/// Work that every stop throws away, for the start that has to come again.
+/// Work that every stop loses in addition, for the repeated start.
 const RESTART_WORK: Duration = Duration::from_millis(300);
-/// The same for a member of a gang, which has to find room for all members again.
+/// This work for a member of a gang, which needs capacity for all members again.
 const GANG_RESTART_WORK: Duration = Duration::from_millis(1000);
 
 /// A run that may be stopped for other work.
@@ -19,7 +19,7 @@
 pub struct RunningTask {
     /// The task.
     pub id: TaskId,
-    /// What it holds.
+    /// Resources that it holds.
     pub held: Resources,
     /// Its worker.
     pub place: WorkerIndex,
@@ -29,15 +29,15 @@
     pub attempt: u32,
     /// Whether it is a member of a gang.
     pub gang: bool,
-    /// Whether it saves its progress.
+    /// Whether it saves checkpoints.
     pub checkpointing: bool,
-    /// Weight of what it asks for, in thousandths of a core.
+    /// Weight of the resources that it asks for, in thousandths of a core.
     pub weight: u64,
 }
 
 impl RunningTask {
-    /// Returns the work that a stop throws away, in thousandths of core-seconds, given the runs that are known at its
-    /// worker. Estimates are rough, so the time since the run was seen first counts.
+    /// Returns the work that a stop loses, in thousandths of core-seconds. `runs` are the known runs of its worker.
+    /// Estimates are rough, so the work is computed from the time since the run was first seen.
     pub fn lost_work(&self, runs: &RunsAt<'_>) -> u64 {
         let seen = runs.find(&self.id, self.attempt);
         let mut lost = seen.map_or(Duration::ZERO, |seen| seen.first_seen.elapsed());
--- a/crates/rampbay-jobs/src/planner/units.rs
+++ b/crates/rampbay-jobs/src/planner/units.rs
@@ -1,4 +1,4 @@
-//! What may be stopped for other work: single runs, and gangs as a whole.
+//! The units that may be stopped for other work: single runs, and gangs as a whole.
 
 use std::collections::HashMap;
 
@@ -7,27 +7,27 @@
 use super::WorkerIndex;
 use super::running::RunningTask;
 
-/// Place of a unit in [`Units::units`]; cheaper units come first.
+/// Index of a unit in [`Units::units`]; cheaper units come first.
 pub type UnitIndex = usize;
 
-/// Runs that end together, and what their stop costs.
+/// Runs that are stopped together, and the cost of that.
 #[derive(Clone, Debug)]
 pub struct Unit {
     /// One of its runs.
     pub first: TaskId,
-    /// What its runs hold, and where.
+    /// The workers of its runs, and the resources held there.
     pub held: Vec<(WorkerIndex, Resources)>,
     /// Priority of its queue.
     pub priority: u32,
-    /// Work that the stop throws away, in thousandths of core-seconds.
+    /// Work that the stop loses, in thousandths of core-seconds.
     pub lost_work: u64,
-    /// The lost work, more for more urgent work and for what was started often.
+    /// The lost work, weighted higher for more urgent work and for runs that were started often.
     pub cost: u64,
-    /// Whether it is being stopped already.
+    /// Whether this round has already decided to stop it.
     pub is_stopped: bool,
 }
 
-/// All units, and where they run.
+/// All units, and their workers.
 #[derive(Clone, Debug, Default)]
 pub struct Units {
     /// The units, cheaper ones first.
@@ -36,16 +36,16 @@
     by_place: Vec<Vec<UnitIndex>>,
 }
 
-/// Priority from which on all work weighs the same.
+/// Priority from which all work has the same weight.
 const LOWEST_WEIGHTED_PRIORITY: u32 = 2;
 
-/// Returns how much a stop weighs: twice as much for each step of priority.
+/// Returns the weight of a stop, which doubles with each step of priority.
 fn weight(priority: u32) -> u64 {
     1 << LOWEST_WEIGHTED_PRIORITY.saturating_sub(priority)
 }
 
 impl Units {
-    /// Gathers what runs at `places` workers into units. `lost_work` says what the stop of a run throws away,
+    /// Groups the runs at `places` workers into units. `lost_work` returns the work that the stop of a run loses,
     /// in thousandths of core-seconds.
     pub fn group(
         running: &[RunningTask],
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Iterates over what one unit holds at a worker, run by run.
+    /// Iterates over the resources that a unit holds at a worker, run by run.
     pub fn held_at(&self, unit: UnitIndex, place: WorkerIndex) -> impl Iterator<Item = &Resources> {
         let held = self.units[unit].held.iter().filter(move |(at, _)| *at == place);
         held.map(|(_, held)| held)
--- a/crates/rampbay-jobs/src/planner/unreported.rs
+++ b/crates/rampbay-jobs/src/planner/unreported.rs
@@ -1,7 +1,7 @@
 //! Runs that were assigned to a worker and that its agent doesn't report.
 //!
-//! An agent takes a run up by a record that it is sent once. Whatever keeps it from that, its reports show it: they come, and
-//! the run isn't among them.
+//! An agent learns of a run by a record that is sent once. If it misses the record for whatever reason, its reports
+//! show it, since they come without the run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,29 +10,29 @@
 
 use crate::job::TaskId;
 
-/// Longest time for which an agent may report without a run that was assigned to its worker.
+/// Longest time for which an agent's reports may lack a run that was assigned to its worker.
 const PICKUP_TIMEOUT: Duration = Duration::from_millis(4000);
-/// Longest time between two reports that counts: after a longer one the agent gets its time anew.
+/// Longest time between two reports that counts; after a longer one the time is measured anew.
 const MAX_REPORT_GAP: Duration = Duration::from_millis(3500);
 
-/// The reports without a run, from the first to the latest of them.
+/// The times of the first and the latest report without a run.
 #[derive(Clone, Copy, Debug)]
 struct Unreported {
     since: Instant,
     latest: Instant,
 }
 
-/// The assigned runs that their agents haven't reported.
+/// The assigned runs that the agents haven't reported.
 #[derive(Debug, Default)]
 pub struct UnreportedRuns {
     known: BTreeMap<(TaskId, u32), Unreported>,
-    /// Those that have been looked at since [`Self::forget_others`].
+    /// Those that were checked since the last call of [`Self::finish_pass`].
     checked: BTreeMap<(TaskId, u32), Unreported>,
 }
 
 impl UnreportedRuns {
-    /// Takes note that the latest report of a run's agent, which came at `reported_at`, doesn't list it. Returns whether
-    /// reports have come without it for too long.
+    /// Records that the latest report of a run's agent, received at `reported_at`, doesn't list the run. Returns
+    /// whether reports have lacked the run for longer than [`PICKUP_TIMEOUT`].
     pub fn note(&mut self, task: &TaskId, attempt: u32, reported_at: Instant) -> bool {
         let key = (task.clone(), attempt);
         let first = Unreported { since: Instant::now(), latest: reported_at };
@@ -43,7 +43,8 @@
         reported_at.saturating_duration_since(since) > PICKUP_TIMEOUT
     }
 
-    /// Forgets the runs that haven't been looked at since it was called last: they are reported by now, or over.
+    /// Ends a pass over the assigned runs: removes those that weren't checked in it, as they are reported by now or
+    /// over.
     pub fn finish_pass(&mut self) {
         self.known = std::mem::take(&mut self.checked);
     }
--- a/crates/rampbay-jobs/src/planner/waits.rs
+++ b/crates/rampbay-jobs/src/planner/waits.rs
@@ -1,4 +1,4 @@
-//! Why steps wait, told when it changes.
+//! The reasons why steps wait, logged when they change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,24 +6,24 @@
 use super::queue::WaitingStep;
 use super::{RoundInputs, StepKey};
 
-/// Least time between two lines of one step.
+/// Smallest time between two log lines on one step.
 const MIN_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a step that may start doesn't.
+/// Reason why a step that may start has to wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
     /// Other runs are being stopped for it.
     StopsUnderWay,
-    /// It goes into one rack, and none has room for it.
+    /// It is to be placed in one rack, and none has enough free capacity.
     NoRack,
-    /// It is suspected to crash its workers, and waits for one of its own.
+    /// It is suspected of crashing its workers, and waits for an idle one.
     NoIdleWorker,
-    /// There is no room, and what would have to be stopped is worth more.
+    /// No capacity is free, and the runs that would have to be stopped are worth more.
     NoRoom,
 }
 
 impl WaitReason {
-    /// Returns its name in logs.
+    /// Returns its label in logs.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -40,16 +40,16 @@
 pub struct Wait {
     /// The step.
     pub key: StepKey,
-    /// Its tasks that wait.
+    /// Number of its tasks that wait.
     pub tasks: usize,
-    /// How long it has waited, in milliseconds.
+    /// Time that it has waited, in milliseconds.
     pub waited_ms: u64,
-    /// Why.
+    /// The reason.
     pub reason: WaitReason,
 }
 
 impl Wait {
-    /// Makes the account of a step that `tasks` tasks of wait.
+    /// Creates the entry for a step of which `tasks` tasks wait.
     #[must_use]
     pub fn new(
         waiting: &WaitingStep,
@@ -62,14 +62,14 @@
     }
 }
 
-/// The steps that wait, as they were told last.
+/// The waiting steps, with the reasons that were logged last.
 #[derive(Debug, Default)]
 pub struct WaitLog {
     logged: BTreeMap<StepKey, (WaitReason, Duration)>,
 }
 
 impl WaitLog {
-    /// Takes in what waits after a round, and tells what has changed.
+    /// Updates the waiting steps after a round, and logs the changes.
     pub fn update(&mut self, waits: &[Wait], now: Duration) {
         let keys: BTreeSet<&StepKey> = waits.iter().map(|wait| &wait.key).collect();
         self.logged.retain(|key, _| keys.contains(key));
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Returns why a step waits, as it was told last.
+    /// Returns the reason that was last logged for a waiting step.
     #[must_use]
     pub fn reason(&self, key: &StepKey) -> Option<WaitReason> {
         self.logged.get(key).map(|(reason, _)| *reason)
--- a/crates/rampbay-jobs/src/planner/watch.rs
+++ b/crates/rampbay-jobs/src/planner/watch.rs
@@ -1,4 +1,4 @@
-//! Moves runs off workers that leave, runs that stand still, and runs that no agent takes up.
+//! Moves runs off workers that leave, and moves runs that have stalled or that no agent reports.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use super::workers::{WorkerView, WorkerViews};
 use super::{Planner, RoundInputs};
 
-/// Stops runs that are better off elsewhere. What an agent has reported is looked at once.
+/// Stops the runs that should move to another worker. Stalled and unreported runs are checked only after new reports.
 pub fn move_runs(
     planner: &mut Planner,
     draft: &mut Draft<'_>,
@@ -40,7 +40,7 @@
             let run = WatchedRun { id: &task_id, task, step, submission: &submission, worker };
             if run.should_leave(planner, inputs) {
                 log::info!(
-                    "event=J142 run leaves a draining worker task={task_id} worker={} remaining_ms={} left_ms={} percent={:?}",
+                    "event=J142 run moved off a draining worker task={task_id} worker={} remaining_ms={} left_ms={} percent={:?}",
                     task.instance,
                     run.remaining(planner, inputs).ms,
                     worker.record.leaves_at.saturating_sub(inputs.wall),
@@ -49,14 +49,14 @@
                 moved.push(task_id);
             } else if has_new_reports && let Some(percent) = run.stalled_percent(planner, inputs) {
                 log::warn!(
-                    "event=J143 run stands still task={task_id} worker={} percent={percent}",
+                    "event=J143 run stalled task={task_id} worker={} percent={percent}",
                     task.instance
                 );
                 planner.health.record_stall(&task.instance, inputs.now);
                 moved.push(task_id);
             } else if has_new_reports && run.is_not_picked_up(&mut planner.unreported, inputs) {
                 log::warn!(
-                    "event=J148 run not taken up task={task_id} attempt={} worker={} agent={}",
+                    "event=J148 run not picked up by its agent task={task_id} attempt={} worker={} agent={}",
                     task.attempt,
                     task.instance,
                     worker.record.node
@@ -75,7 +75,7 @@
     }
 }
 
-/// A run that is looked at.
+/// A run that is checked.
 struct WatchedRun<'a> {
     id: &'a TaskId,
     task: &'a TaskPlan,
@@ -89,14 +89,14 @@
         inputs.progress.run(&self.task.instance, self.id, self.task.attempt)
     }
 
-    /// Returns what it is expected to need still, by its own rate if that is known.
+    /// Returns its expected remaining time, computed from its own rate if that is known.
     fn remaining(&self, planner: &Planner, inputs: &RoundInputs<'_>) -> RemainingTime {
         let ms = planner.forecasts.duration_ms(self.submission, self.step);
         let Some(seen) = self.seen(inputs) else {
             return RemainingTime { ms, is_from_rate: false };
         };
         if let Some(ms) = remaining_by_rate_ms(seen) {
-            // It has gone on since its agent reported it.
+            // The run has gone on since its agent reported it.
             let since = inputs.progress.report(&self.task.instance, Instant::now()).age;
             return RemainingTime {
                 ms: ms.saturating_sub(since.as_millis() as u64),
@@ -107,7 +107,7 @@
         RemainingTime { ms: ms.saturating_sub(elapsed), is_from_rate: false }
     }
 
-    /// Returns whether it is better off elsewhere than at its worker, which leaves.
+    /// Returns whether the run should move, since its worker is about to leave.
     fn should_leave(&self, planner: &Planner, inputs: &RoundInputs<'_>) -> bool {
         let worker = self.worker.record;
         if !worker.draining {
@@ -126,7 +126,7 @@
         !run.should_stay()
     }
 
-    /// Returns whether its agent goes on reporting without it.
+    /// Returns whether its agent's reports have lacked the run for too long.
     fn is_not_picked_up(&self, unreported: &mut UnreportedRuns, inputs: &RoundInputs<'_>) -> bool {
         if self.seen(inputs).is_some() {
             return false;
@@ -135,13 +135,13 @@
         reported_at.is_some_and(|at| unreported.note(self.id, self.task.attempt, at))
     }
 
-    /// Returns how far it is, in percent, if it gets on no more.
+    /// Returns its progress in percent if it has stalled.
     fn stalled_percent(&self, planner: &Planner, inputs: &RoundInputs<'_>) -> Option<u32> {
         if self.step.long_running {
             return None;
         }
         let seen = self.seen(inputs)?;
-        // Past its estimate a run shows no progress, and may take long, away from its data.
+        // A run past its estimate reports no further progress, and may take long if it is away from its data.
         let past_estimate = seen.percent >= FULL_PERCENT;
         let longest =
             Duration::from_millis(self.step.estimate_ms * planner.settings.remote_penalty);
@@ -158,6 +158,6 @@
 fn remaining_by_rate_ms(seen: &ObservedProgress) -> Option<u64> {
     let rate = seen.rate.percent_per_s?;
     let left = f64::from(FULL_PERCENT.saturating_sub(seen.percent));
-    // A run that doesn't get on is never done; a float that is too large becomes the largest time.
+    // A run without progress never ends: the quotient is too large, and the cast saturates at the longest time.
     Some((left * 1000.0 / rate.max(f64::MIN_POSITIVE)) as u64)
 }
--- a/crates/rampbay-jobs/src/planner/workers.rs
+++ b/crates/rampbay-jobs/src/planner/workers.rs
@@ -1,4 +1,4 @@
-//! The workers as one round sees them.
+//! The workers and the ages of their agents' reports in one round.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -16,13 +16,13 @@
 pub struct WorkerView<'a> {
     /// Its id.
     pub instance: &'a InstanceId,
-    /// What its agent says of it.
+    /// Its record, written by its agent.
     pub record: &'a Rc<WorkerRecord>,
-    /// How long its agent hasn't reported, since this planner knows the worker.
+    /// Time since its agent's last report; at most the time for which this planner has known the worker.
     pub report_age: Duration,
-    /// How long it hadn't answered its agent at the last report.
+    /// Time for which it hadn't answered its agent at the last report.
     pub silent: Duration,
-    /// Whether its agent has reported since reports could last be read again.
+    /// Whether its agent has reported since the end of the last outage of the reports.
     pub has_reported: bool,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl<'a> WorkerViews<'a> {
-    /// Looks at all workers. `known_since` says since when this planner has known each.
+    /// Collects all workers. `known_since` holds the times since which this planner has known each.
     pub fn new(inputs: &RoundInputs<'a>, known_since: &BTreeMap<InstanceId, Duration>) -> Self {
         let now = Instant::now();
         let views = inputs.table.workers.iter().map(|(instance, record)| {
@@ -55,7 +55,7 @@
         Self { views, indices }
     }
 
-    /// Returns the place of a worker in the list.
+    /// Returns the index of a worker in the list.
     pub fn index(&self, instance: &str) -> Option<usize> {
         self.indices.get(instance).copied()
     }
