--- a/crates/rampbay-jobs/benches/round.rs
+++ b/crates/rampbay-jobs/benches/round.rs
@@ -1,4 +1,4 @@
-//! What one round of the planner costs on a fleet under load.
+//! Time that one round of the planner takes on a fleet under load.
 //!
 //! `cargo bench -p rampbay-jobs`
 
@@ -13,7 +13,7 @@
 
 /// Sizes of fleets, in workers.
 const WORKERS: [usize; 3] = [240, 800, 2_500];
-/// How long a fleet is under load before its rounds are timed.
+/// Time for which a fleet is under load before its rounds are measured.
 const WARM_UP: Duration = Duration::from_secs(12);
 
 fn round(c: &mut Criterion) {
@@ -22,7 +22,7 @@
     for workers in WORKERS {
         support::on_virtual_time(async {
             let mut fleet = Fleet::new(workers, 1);
-            fleet.pass(WARM_UP).await;
+            fleet.advance(WARM_UP).await;
             let name = BenchmarkId::new("loaded", workers);
             group.bench_function(name, |bencher| bencher.iter(|| black_box(fleet.round())));
         });
--- a/crates/rampbay-jobs/tests/apart.rs
+++ b/crates/rampbay-jobs/tests/apart.rs
@@ -1,8 +1,8 @@
-//! Tasks that are kept apart from others, since workers went while they ran.
+//! Tasks that are isolated from others, since they have lost workers.
 //!
-//! Seen: after three losses of power of all machines, accepted jobs stood still for as long as anybody looked, while most
-//! accelerators were free. Each worker held a task of its own that nothing might join (`power_losses`), and an urgent job
-//! stopped one of them again and again: it was placed before the urgent job each time.
+//! Guards against accepted jobs that make no progress while most accelerators are free. After three power losses of
+//! all machines each worker held an isolated task (`power_losses`), and an urgent job stopped one of them again and
+//! again, since that task was placed before the urgent job each time.
 
 mod support;
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn urgent_job_placed_before_tasks_kept_apart() {
+fn urgent_job_placed_before_isolated_tasks() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         submit_suspect(&mut rig);
--- a/crates/rampbay-jobs/tests/decisions.rs
+++ b/crates/rampbay-jobs/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! What the planner starts first, what it stops for it, and what it keeps room for.
+//! Which tasks the planner starts first, which runs it stops for them, and for which it holds workers.
 
 mod support;
 
@@ -17,7 +17,7 @@
 const OTHER: &str = "00000000000000bb";
 const URGENT: &str = "00000000000000cc";
 
-/// Urgent work beyond its guarantee stops others as long as that throws away less than it is worth.
+/// Urgent work beyond its guarantee stops other runs as long as the work lost by that is less than its worth.
 #[rstest]
 #[case::young(Duration::from_secs(2), TaskStatus::Stopping)]
 #[case::old(Duration::from_secs(12), TaskStatus::Running)]
@@ -33,11 +33,11 @@
     });
 }
 
-/// The worth of a job that can't end in time any more doesn't rise by haste.
+/// A job that can't end in time any more stops no other runs, since starting it sooner gains nothing.
 #[rstest]
 #[case::in_time(0, TaskStatus::Stopping)]
 #[case::late(20_000, TaskStatus::Running)]
-fn late_urgent_work_stops_nobody(#[case] late_ms: u64, #[case] expected: TaskStatus) {
+fn late_urgent_work_stops_no_run(#[case] late_ms: u64, #[case] expected: TaskStatus) {
     on_virtual_time(async move {
         let mut rig = PlannerRig::of_workers(1);
         rig.wall = 100_000;
@@ -49,10 +49,10 @@
     });
 }
 
-/// Seen on the bench: single tasks took each accelerator as it became free, and gangs that needed
-/// several workers at once never started.
+/// Guards against gangs that need several workers at once and never start, since single tasks take
+/// each accelerator as it becomes free. Seen on the bench.
 #[test]
-fn waiting_gang_keeps_room_from_less_urgent_work() {
+fn waiting_gang_holds_worker_from_less_urgent_work() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(6);
         rig.submit(job(JOB, 2, step(6, 8)));
@@ -69,22 +69,22 @@
     });
 }
 
-/// Spread over racks, a gang holds its room several times as long: on a busy fleet it waits.
+/// Spread over racks, a gang holds its resources several times as long, so on a busy fleet it waits for one rack.
 #[rstest]
 #[case::busy(2, 2, 0)]
 #[case::idle(1, 3, 3)]
 fn gang_wanting_rack_waits_on_busy_fleet(
-    #[case] busy_a_rack: u32,
+    #[case] busy_per_rack: u32,
     #[case] members: u32,
     #[case] running_soon: usize,
 ) {
     on_virtual_time(async move {
         let mut rig = PlannerRig::of_workers(6);
-        rig.submit(job(JOB, 0, Step { required_label: "r0".to_owned(), ..step(busy_a_rack, 8) }));
+        rig.submit(job(JOB, 0, Step { required_label: "r0".to_owned(), ..step(busy_per_rack, 8) }));
         rig.submit(job(
             URGENT,
             0,
-            Step { required_label: "r1".to_owned(), ..step(busy_a_rack, 8) },
+            Step { required_label: "r1".to_owned(), ..step(busy_per_rack, 8) },
         ));
         rig.plan();
         let submission = job(OTHER, 0, Step { same_rack: true, ..gang(members, 8) });
@@ -100,9 +100,9 @@
     });
 }
 
-/// Estimates that scatter widely say little: the job with fewer tasks goes first, whatever it says.
+/// Widely scattered estimates say little: the job with fewer tasks goes first, whatever its estimate is.
 #[test]
-fn scattered_estimates_drawn_to_their_mean() {
+fn scattered_estimates_shrunk_to_mean() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         let estimated = |id: &str, count: u32, estimate_ms: u64| {
@@ -124,7 +124,7 @@
     });
 }
 
-/// Two jobs that get on at a tenth of their pace show a slow worker; one may just be long.
+/// Two jobs that progress at a tenth of the expected rate show a slow worker; a single one may just take long.
 #[rstest]
 #[case::two_jobs(true, "i-1")]
 #[case::one_job(false, "i-0")]
@@ -153,7 +153,7 @@
     });
 }
 
-/// A worker whose runs lag behind those of the same step elsewhere is left to work that has time.
+/// A worker whose runs are slower than those of the same step elsewhere is left to work that isn't urgent.
 #[test]
 fn urgent_work_prefers_faster_machines() {
     on_virtual_time(async {
@@ -179,26 +179,26 @@
     });
 }
 
-/// What waits says why, and what would start it.
+/// The planner returns the reason why a step waits.
 #[rstest]
 #[case::urgent(0, step(1, 8), WaitReason::StopsUnderWay)]
 #[case::not_urgent(1, step(1, 8), WaitReason::NoRoom)]
 #[case::wants_rack(1, Step { same_rack: true, ..gang(2, 4) }, WaitReason::NoRack)]
-fn wait_reason(#[case] priority: u32, #[case] step_that_waits: Step, #[case] expected: WaitReason) {
+fn wait_reason(#[case] priority: u32, #[case] waiting_step: Step, #[case] expected: WaitReason) {
     on_virtual_time(async move {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 8)));
         rig.plan();
         assert_eq!(rig.planner.wait_reason(JOB, 0, 0), None);
-        let submission = job(OTHER, priority, step_that_waits);
+        let submission = job(OTHER, priority, waiting_step);
         rig.submit(Submission { submitted_at: rig.wall, ..submission });
         rig.plan();
         assert_eq!(rig.planner.wait_reason(OTHER, 0, 0), Some(expected));
     });
 }
 
-/// A planner that takes over knows from the agents' reports how long runs have run: the youngest is
-/// stopped, not the first of all that look as young.
+/// A planner that takes over knows from the agents' reports how long the runs have gone on, so it
+/// stops the youngest run. Without the reports all runs would seem equally young.
 #[test]
 fn youngest_run_stopped_after_takeover() {
     on_virtual_time(async {
--- a/crates/rampbay-jobs/tests/drains.rs
+++ b/crates/rampbay-jobs/tests/drains.rs
@@ -1,4 +1,5 @@
-//! Failure domains that operators drain: no start there, whoever decided it and however late it comes.
+//! Failure domains that operators drain: nothing is started there, whichever leader decided it and however late the
+//! start arrives.
 
 mod support;
 
@@ -24,7 +25,7 @@
     DrainedDomains { names: names.iter().map(|name| (*name).to_owned()).collect(), read_to }
 }
 
-/// Two workers of eight accelerators in each of two failure domains; a rack lies in one domain.
+/// Creates a rig with two workers of eight accelerators in each of two failure domains, and one rack per domain.
 fn rig() -> PlannerRig {
     let worker = |domain: &str, rack: &str| WorkerRecord {
         failure_domain: domain.to_owned(),
@@ -52,7 +53,7 @@
         rig.submit(job(JOB, 2, step(4, 8)));
         rig.plan();
         assert_eq!((running_at(&rig, "east"), running_at(&rig, "west")), (0, 2));
-        assert_eq!(rig.table.drained, rig.drained, "agents read it out of the state");
+        assert_eq!(rig.table.drained, rig.drained, "agents read it in the state topic");
     });
 }
 
@@ -85,7 +86,7 @@
     });
 }
 
-/// A leader that takes over may have read less of the operators' topic than the one before.
+/// A leader that takes over may have read less of the operators' topic than the previous one.
 #[test]
 fn plan_older_view_restores_nothing() {
     on_virtual_time(async {
@@ -99,7 +100,7 @@
     });
 }
 
-/// A domain that is restored is used only once the state says so: agents refuse starts before.
+/// A restored domain is used only once the state topic shows it: agents refuse starts before that.
 #[test]
 fn round_restores_before_it_assigns() {
     on_virtual_time(async {
@@ -148,8 +149,8 @@
     });
 }
 
-/// A drain that stood before the leader started, and one whose record was dropped with the history while
-/// the store was away: both stand until their key is gone.
+/// A drain that was in force before the leader started, and one whose record was dropped with the history while
+/// the store was unavailable: both stay in force until their key is removed.
 #[test]
 fn leader_drain_outlasts_restart_and_dropped_history() {
     on_virtual_time(async {
@@ -184,7 +185,7 @@
     ends.collect()
 }
 
-/// An agent holds each start against the drains that it knows, whoever assigned it.
+/// An agent checks each start against the drains that it knows, whichever leader assigned it.
 #[rstest]
 #[case::drained("domain-1", vec![EndReason::NotStarted], 0)]
 #[case::other_domain("domain-2", vec![], 1)]
@@ -205,7 +206,7 @@
     });
 }
 
-/// A start that got no answer isn't ordered again after the drain, and is settled by a stop.
+/// A start without an answer isn't ordered again after the drain; it is settled by a stop order.
 #[test]
 fn agent_unanswered_start_not_repeated_in_drained_domain() {
     on_virtual_time(async {
--- a/crates/rampbay-jobs/tests/fleet.rs
+++ b/crates/rampbay-jobs/tests/fleet.rs
@@ -11,7 +11,7 @@
 fn decisions_for_loaded_fleet() {
     on_virtual_time(async {
         let mut fleet = Fleet::new(24, 1);
-        fleet.pass(Duration::from_secs(14)).await;
+        fleet.advance(Duration::from_secs(14)).await;
         insta::assert_snapshot!(fleet.decisions.join("\n"));
     });
 }
--- a/crates/rampbay-jobs/tests/losses.rs
+++ b/crates/rampbay-jobs/tests/losses.rs
@@ -1,9 +1,9 @@
-//! When a task is given up for what it has lost, and how far it is kept apart, case by case.
+//! After which losses a task is given up, and how far it is isolated.
 
 use rampbay_jobs::losses::{InFlightRun, Isolation, JobLosses, LostRun, UnitKey, UnitLosses};
 use rstest::rstest;
 
-/// A loss at a minute of its own.
+/// Returns a loss without proof. Losses of successive attempts are a minute apart.
 fn lost(attempt: u32) -> LostRun {
     LostRun {
         attempt,
@@ -46,12 +46,12 @@
 #[case::youngest(&[LostRun { was_youngest: true, ..lost(1) }], Isolation::Preferred)]
 #[case::two(&[lost(1), lost(2)], Isolation::Preferred)]
 #[case::three(&[lost(1), lost(2), lost(3)], Isolation::First)]
-fn kept_apart(#[case] of: &[LostRun], #[case] expected: Isolation) {
+fn isolated(#[case] of: &[LostRun], #[case] expected: Isolation) {
     assert_eq!(losses(of).isolation(), expected);
 }
 
 #[test]
-fn losses_of_long_ago_no_longer_count() {
+fn old_losses_no_longer_count() {
     let hour_ms = 3_600_000;
     let mut known = losses(&[lost(1), lost(2), lost(3), lost(4)]);
     known.add(LostRun { at: hour_ms + 2 * 60_000 + 1, ..lost(70) });
@@ -59,9 +59,9 @@
     assert_eq!(attempts, [3, 4, 70]);
 }
 
-/// Another member of a gang went with a worker where it had no neighbour: that proves something against the gang.
+/// Another member of a gang was lost with a worker where nothing else ran: that is a proof against the gang.
 #[test]
-fn members_of_one_run_count_once_with_all_their_evidence() {
+fn members_of_one_run_count_once_with_combined_evidence() {
     let mut known = losses(&[lost(1)]);
     assert!(!known.add(LostRun { instance: "i-9".to_owned(), ..proof(1) }));
     assert_eq!((known.0.len(), known.proofs()), (1, 1));
@@ -86,7 +86,7 @@
 #[case::never_listed(0, true)]
 #[case::listed_for_less_than_a_second(999, true)]
 #[case::listed_for_longer(1_000, false)]
-fn worker_went_soon(#[case] listed_ms: u64, #[case] expected: bool) {
+fn worker_lost_soon_after_start(#[case] listed_ms: u64, #[case] expected: bool) {
     let task = "00000000000000aa.0.0.0".parse().expect("a task");
     assert_eq!(
         InFlightRun { task, attempt: 1, age_ms: 9_000, listed_ms }.ended_soon_after_start(),
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn losses_at_workers_that_are_back_forgotten() {
+fn losses_at_returned_workers_discarded() {
     let mut job = JobLosses::default();
     let key = |index| UnitKey { occurrence: 0, step: 0, index };
     job.0.insert(key(0), losses(&[lost(1), lost(2)]));
--- a/crates/rampbay-jobs/tests/planner.rs
+++ b/crates/rampbay-jobs/tests/planner.rs
@@ -1,4 +1,4 @@
-//! The planner, round by round, on tables made of records.
+//! Rounds of the planner on tables built from records.
 
 mod support;
 
@@ -23,7 +23,7 @@
         rig.submit(job(JOB, 1, gang(2, 8)));
         rig.plan();
         assert_eq!(rig.statuses(JOB), vec![TaskStatus::Running; 2]);
-        assert_ne!(rig.placed(&task(JOB, 0)).1, rig.placed(&task(JOB, 1)).1);
+        assert_ne!(rig.latest_run(&task(JOB, 0)).1, rig.latest_run(&task(JOB, 1)).1);
     });
 }
 
@@ -44,14 +44,14 @@
         rig.submit(job(JOB, 1, Step { same_rack: true, ..gang(3, 8) }));
         rig.plan();
         let racks: Vec<String> = (0..3)
-            .map(|index| rig.table.workers[&rig.placed(&task(JOB, index)).1].rack().to_owned())
+            .map(|index| rig.table.workers[&rig.latest_run(&task(JOB, index)).1].rack().to_owned())
             .collect();
         assert!(racks.iter().all(|rack| *rack == racks[0]), "{racks:?}");
     });
 }
 
-/// Seen on the bench: a worker that had just registered was evicted at once, since it had never
-/// reported, and again after each return.
+/// Guards against evicting a worker that has just registered because its agent has never reported.
+/// The worker was evicted again after each return. Seen on the bench.
 #[test]
 fn new_worker_without_report_not_evicted() {
     on_virtual_time(async {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn silent_worker_evicted_then_given_up() {
+fn silent_worker_evicted_then_removed() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 1)));
@@ -90,10 +90,9 @@
     });
 }
 
-/// While no reports can be read, no agent is taken to be silent.
-/// The agent's machine is taken away soon after its worker's good-bye, and says nothing more.
+/// The agent's machine is removed soon after the worker's deregistration, so the agent reports nothing more.
 #[test]
-fn departed_worker_given_up_after_leases() {
+fn departed_worker_removed_after_leases() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         rig.submit(job(JOB, 1, step(1, 8)));
@@ -117,13 +116,13 @@
     });
 }
 
-/// Seen on the bench: urgent work was given to a worker that had gone during an outage.
+/// Guards against assigning urgent work to a worker that was lost during an outage of the reports. Seen on the bench.
 #[test]
-fn worker_unheard_since_outage_avoided() {
+fn worker_without_report_since_outage_avoided() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         rig.advance(Duration::from_secs(1)).await;
-        // Nothing can be read for a while; then only one agent reports.
+        // No report can be read for a while; then only one agent reports.
         tokio::time::sleep(Duration::from_secs(5)).await;
         rig.advance_with_silent(Duration::from_millis(1000), "i-0").await;
         rig.submit(job(URGENT, 0, step(1, 1)));
@@ -132,8 +131,9 @@
     });
 }
 
+/// While no reports can be read, no agent counts as silent.
 #[test]
-fn unreadable_reports_nobody_evicted() {
+fn unreadable_reports_evict_no_worker() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.advance(Duration::from_secs(1)).await;
@@ -143,7 +143,7 @@
     });
 }
 
-/// Seen on the bench: a worker that fails all it starts was always free, and drew job after job.
+/// Guards against a worker that fails every run: it was always free, and was assigned job after job. Seen on the bench.
 #[test]
 fn failing_worker_blocked() {
     on_virtual_time(async {
@@ -151,25 +151,25 @@
         for (number, id) in [JOB, OTHER].iter().enumerate() {
             rig.submit(job(id, 1, step(1, 8)));
             rig.plan();
-            let (_, instance) = rig.placed(&task(id, 0));
+            let (_, instance) = rig.latest_run(&task(id, 0));
             assert_eq!(instance, "i-0", "job {number} starts at the first worker");
             rig.end(&task(id, 0), EndReason::Failed);
             rig.plan();
-            assert_eq!(rig.placed(&task(id, 0)).1, "i-1", "the retry goes elsewhere");
+            assert_eq!(rig.latest_run(&task(id, 0)).1, "i-1", "the retry goes elsewhere");
             rig.end(&task(id, 0), EndReason::Done);
             rig.plan();
             rig.advance(Duration::from_secs(2)).await;
         }
         rig.submit(job(URGENT, 1, step(2, 8)));
         rig.plan();
-        assert_eq!(rig.placed(&task(URGENT, 0)).1, "i-1");
+        assert_eq!(rig.latest_run(&task(URGENT, 0)).1, "i-1");
         assert_eq!(rig.status_of(&task(URGENT, 1)), TaskStatus::Waiting);
     });
 }
 
 /// A job that fails wherever it runs blocks no worker.
 #[test]
-fn hopeless_job_blocks_nobody() {
+fn job_failing_everywhere_blocks_no_worker() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(3);
         for id in [JOB, OTHER] {
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn room_being_freed_kept_for_guaranteed_job() {
+fn capacity_being_freed_reserved_for_guaranteed_job() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.guarantee(8);
@@ -249,8 +249,8 @@
         assert_eq!(rig.status_of(&task(JOB, 1)), TaskStatus::Stopping);
         rig.end(&task(JOB, 1), EndReason::Stopped);
         rig.plan();
-        assert_eq!(rig.placed(&task(JOB, 0)).0, 2);
-        assert_eq!(rig.placed(&task(JOB, 1)).0, 2);
+        assert_eq!(rig.latest_run(&task(JOB, 0)).0, 2);
+        assert_eq!(rig.latest_run(&task(JOB, 1)).0, 2);
     });
 }
 
@@ -335,10 +335,11 @@
     });
 }
 
-/// Seen on the bench: an urgent step wider than all workers reserved nothing, lower work took each
-/// place that was freed for it, and was stopped again at once.
+/// Guards against preempting in vain for an urgent step that is wider than the fleet: it reserved
+/// nothing, so less urgent work took the capacity that was freed for it, and was stopped again at
+/// once. Seen on the bench.
 #[test]
-fn wide_urgent_step_keeps_freed_room() {
+fn wide_urgent_step_keeps_freed_capacity() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         rig.submit(job(JOB, 1, step(4, 4)));
@@ -373,10 +374,10 @@
     });
 }
 
-/// Seen on the bench: after an outage of the store every run counted as standing still, since no
-/// report had come, and all were stopped.
+/// Guards against stopping all runs after an outage of the store: they counted as stalled, since no
+/// reports had been read. Seen on the bench.
 #[test]
-fn unreadable_reports_no_run_moved() {
+fn unreadable_reports_move_no_run() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(2, 1)));
@@ -389,9 +390,9 @@
     });
 }
 
-/// A run reports the same progress for a while; at the end of its estimate it may do so for long.
+/// A run that reports the same progress for some time has stalled, unless it is past its estimate.
 #[rstest]
-#[case::standing(40, TaskStatus::Stopping)]
+#[case::stalled(40, TaskStatus::Stopping)]
 #[case::past_its_estimate(100, TaskStatus::Running)]
 fn same_progress_reported(#[case] percent: u32, #[case] expected: TaskStatus) {
     on_virtual_time(async move {
--- a/crates/rampbay-jobs/tests/refusals.rs
+++ b/crates/rampbay-jobs/tests/refusals.rs
@@ -1,7 +1,7 @@
-//! Workers that refuse starts, though they seem to have room.
+//! Workers that refuse starts although they seem to have free capacity.
 //!
-//! Seen: gangs were assigned up to ten times a second to a worker that refused each time; their other members were stopped as
-//! often, and nothing came of it.
+//! Guards against assigning gangs again and again to a worker that refuses each time: they were assigned up to ten
+//! times a second, their other members were stopped as often, and the gangs never started.
 
 mod support;
 
@@ -18,7 +18,7 @@
 /// Rounds in two seconds.
 const ROUNDS: u32 = 80;
 
-/// Ends the runs at a worker that stand so.
+/// Ends the runs at a worker whose tasks have a given status.
 fn end_at(rig: &mut PlannerRig, worker: &str, status: TaskStatus, reason: EndReason) {
     for (task, _) in rig.runs_at(worker) {
         if rig.status_of(&task) == status {
@@ -27,9 +27,8 @@
     }
 }
 
-/// Plays rounds in which the first of some workers refuses all that it is assigned, and the others start and stop what they
-/// are told.
-async fn refuse_at_first(rig: &mut PlannerRig, workers: &[&str]) {
+/// Runs rounds in which the first of some workers refuses every start, and the others start and stop runs as ordered.
+async fn refuse_at_first_worker(rig: &mut PlannerRig, workers: &[&str]) {
     for _ in 0..ROUNDS {
         rig.plan();
         for worker in workers {
@@ -41,31 +40,32 @@
     }
 }
 
-/// A task is assigned again at once to the worker that has just refused it: ten times a second, without end.
+/// Guards against assigning a task again at once to the worker that has just refused it: ten times a second,
+/// without end.
 #[test]
 fn refused_task_assigned_twice_a_second_at_most() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 1)));
-        refuse_at_first(&mut rig, &["i-0"]).await;
-        let (attempts, _) = rig.placed(&task(JOB, 0));
+        refuse_at_first_worker(&mut rig, &["i-0"]).await;
+        let (attempts, _) = rig.latest_run(&task(JOB, 0));
         assert!((2..=4).contains(&attempts), "{attempts} attempts");
     });
 }
 
-/// A gang that needs a refusing worker stops and starts its other members ten times a second.
+/// Guards against stopping and starting the other members of a gang ten times a second if it needs a refusing worker.
 #[test]
 fn gang_with_refusing_worker_assigned_twice_a_second_at_most() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(3);
         rig.submit(job(JOB, 1, gang(3, 8)));
-        refuse_at_first(&mut rig, &["i-0", "i-1", "i-2"]).await;
-        let (attempts, _) = rig.placed(&task(JOB, 0));
+        refuse_at_first_worker(&mut rig, &["i-0", "i-1", "i-2"]).await;
+        let (attempts, _) = rig.latest_run(&task(JOB, 0));
         assert!((2..=4).contains(&attempts), "{attempts} attempts");
     });
 }
 
-/// A worker that refuses once, since its room had shrunk, gets work again soon.
+/// A worker that refused once, since its capacity had shrunk, gets work again soon.
 #[test]
 fn worker_that_refused_once_used_again() {
     on_virtual_time(async {
@@ -77,7 +77,7 @@
             rig.plan();
             tokio::time::sleep(ROUND).await;
         }
-        assert_eq!(rig.placed(&task(JOB, 0)).0, 2);
+        assert_eq!(rig.latest_run(&task(JOB, 0)).0, 2);
         assert_eq!(rig.status_of(&task(JOB, 0)), TaskStatus::Running);
     });
 }
--- a/crates/rampbay-jobs/tests/support/fleet.rs
+++ b/crates/rampbay-jobs/tests/support/fleet.rs
@@ -1,7 +1,7 @@
-//! A generated fleet under load, on virtual time: jobs arrive, runs get on, end, fail and are stopped.
+//! A generated fleet under load, on virtual time: jobs arrive, runs progress, end, fail and are stopped.
 //!
-//! It stands in for agents and workers only as far as a planner sees them. The same seed draws the
-//! same load, so two versions of the planner can be held against each other decision by decision.
+//! It simulates agents and workers only as far as a planner sees them. The same seed generates the
+//! same load, so two versions of the planner can be compared decision by decision.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,13 +23,13 @@
 
 /// Time between two rounds.
 const TICK: Duration = Duration::from_millis(50);
-/// Time between two reports of an agent.
+/// Ticks between two reports of an agent.
 const REPORT_TICKS: u64 = 20;
-/// Time that a stop takes.
+/// Time that a stop takes, in milliseconds.
 const STOP_MS: u64 = 300;
 /// Share of the runs that fail.
 const FAILURE_SHARE: f64 = 0.01;
-/// How much longer a gang takes that is spread over racks.
+/// Factor by which a gang takes longer that is spread over racks.
 const SPREAD_FACTOR: u64 = 3;
 /// Speeds of the machines, in percent.
 const SPEEDS: [u64; 3] = [80, 100, 125];
@@ -40,7 +40,7 @@
 struct Kind {
     priority: u32,
     /// Jobs a second on 240 workers.
-    per_s: f64,
+    jobs_per_s: f64,
     tasks: u32,
     cpu_milli: u64,
     memory_mb: u64,
@@ -53,7 +53,7 @@
 const KINDS: [Kind; 3] = [
     Kind {
         priority: 1,
-        per_s: 0.8,
+        jobs_per_s: 0.8,
         tasks: 25,
         cpu_milli: 52_000,
         memory_mb: 110_000,
@@ -64,7 +64,7 @@
     },
     Kind {
         priority: 0,
-        per_s: 5.3,
+        jobs_per_s: 5.3,
         tasks: 8,
         cpu_milli: 15_000,
         memory_mb: 39_000,
@@ -75,7 +75,7 @@
     },
     Kind {
         priority: 2,
-        per_s: 0.6,
+        jobs_per_s: 0.6,
         tasks: 78,
         cpu_milli: 11_000,
         memory_mb: 16_000,
@@ -99,11 +99,11 @@
     pub planner: Planner,
     /// The table that it plans from.
     pub table: JobTable,
-    /// What agents have reported.
+    /// Progress that agents have reported.
     pub progress: ProgressTable,
     /// The configuration.
     pub routing: Routing,
-    /// Starts and stops so far, one a line.
+    /// Starts and stops so far, one per entry.
     pub decisions: Vec<String>,
     rng: ChaCha8Rng,
     speeds: BTreeMap<String, u64>,
@@ -116,7 +116,7 @@
 }
 
 impl Fleet {
-    /// Makes a fleet of idle workers.
+    /// Creates a fleet of idle workers.
     pub fn new(workers: usize, seed: u64) -> Self {
         let mut fleet = Self {
             planner: Planner::new(settings().planner()),
@@ -159,15 +159,15 @@
         self.ticks * TICK.as_millis() as u64
     }
 
-    /// Lets a time pass.
-    pub async fn pass(&mut self, time: Duration) {
+    /// Advances the time by as many ticks as fit into `time`.
+    pub async fn advance(&mut self, time: Duration) {
         let ticks = time.as_millis() / TICK.as_millis();
         for _ in 0..ticks {
             self.step().await;
         }
     }
 
-    /// Lets a tick pass: arrivals, ends, reports, and a round.
+    /// Advances the time by one tick: arrivals, ends, reports, and a round.
     pub async fn step(&mut self) {
         tokio::time::advance(TICK).await;
         self.ticks += 1;
@@ -175,10 +175,10 @@
         self.end_runs();
         self.report();
         let records = self.round();
-        self.take_in(&records);
+        self.apply(&records);
     }
 
-    /// Plans one round, without taking it in.
+    /// Runs one round without applying its records.
     pub fn round(&mut self) -> Vec<KeyedRecord> {
         self.planner.round(&RoundInputs {
             table: &self.table,
@@ -191,14 +191,14 @@
         })
     }
 
-    /// Takes the records of a round into the table, and carries out what they say.
-    pub fn take_in(&mut self, records: &[KeyedRecord]) {
-        let before: BTreeMap<(TaskId, u32), TaskStatus> = self.occupying();
+    /// Applies the records of a round to the table, and starts and stops runs accordingly.
+    pub fn apply(&mut self, records: &[KeyedRecord]) {
+        let before: BTreeMap<(TaskId, u32), TaskStatus> = self.active_runs();
         for record in records {
             self.table.apply(record);
         }
         let now_ms = self.now_ms();
-        for (key, status) in self.occupying() {
+        for (key, status) in self.active_runs() {
             let was = before.get(&key);
             match status {
                 TaskStatus::Running if was.is_none() => self.start(&key, now_ms),
@@ -214,23 +214,23 @@
         }
     }
 
-    fn occupying(&self) -> BTreeMap<(TaskId, u32), TaskStatus> {
-        let mut occupying = BTreeMap::new();
+    fn active_runs(&self) -> BTreeMap<(TaskId, u32), TaskStatus> {
+        let mut active_runs = BTreeMap::new();
         for (id, job) in &self.table.jobs {
             let Some(plan) = &job.plan else { continue };
             let tasks = plan.tasks(id).filter(|(_, task)| task.may_be_running());
-            occupying.extend(tasks.map(|(id, task)| ((id, task.attempt), task.status)));
+            active_runs.extend(tasks.map(|(id, task)| ((id, task.attempt), task.status)));
         }
-        occupying
+        active_runs
     }
 
-    fn instance(&self, key: &(TaskId, u32)) -> String {
+    fn instance_of(&self, key: &(TaskId, u32)) -> String {
         let plan = self.table.jobs[&key.0.job].plan.as_ref().expect("a plan");
         plan.task(&key.0).expect("a task").instance.clone()
     }
 
     fn start(&mut self, key: &(TaskId, u32), now_ms: u64) {
-        let instance = self.instance(key);
+        let instance = self.instance_of(key);
         self.decisions.push(format!("{now_ms} start {} {} {instance}", key.0, key.1));
         let job = &self.table.jobs[&key.0.job];
         let step = &job.submission.steps[key.0.step as usize];
@@ -239,16 +239,16 @@
         let spread = step.same_rack
             && plan.tasks(&key.0.job).any(|(_, task)| rack(&task.instance) != rack(&instance));
         let factor = if spread { SPREAD_FACTOR } else { 1 };
-        let takes = self.work_ms[&key.0.job] * 100 / self.speeds[&instance] * factor;
+        let duration_ms = self.work_ms[&key.0.job] * 100 / self.speeds[&instance] * factor;
         let fails = self.rng.random_bool(FAILURE_SHARE);
         let reason = if fails { EndReason::Failed } else { EndReason::Done };
-        let run = Run { started_ms: now_ms, ends_ms: now_ms + takes, reason };
+        let run = Run { started_ms: now_ms, ends_ms: now_ms + duration_ms, reason };
         self.runs.insert(key.clone(), run);
     }
 
     fn arrive(&mut self) {
         for kind in &KINDS {
-            let expected = kind.per_s * self.load * TICK.as_secs_f64();
+            let expected = kind.jobs_per_s * self.load * TICK.as_secs_f64();
             if self.rng.random_bool(expected.min(1.0)) {
                 self.submit(kind);
             }
@@ -294,7 +294,7 @@
         let over: Vec<((TaskId, u32), EndReason)> =
             over.map(|(key, run)| (key.clone(), run.reason)).collect();
         for ((task, attempt), reason) in over {
-            let instance = self.instance(&(task.clone(), attempt));
+            let instance = self.instance_of(&(task.clone(), attempt));
             self.runs.remove(&(task.clone(), attempt));
             let end = RunEnd { task, attempt, reason, checkpoint: String::new(), instance };
             self.put(&Record::Ended(Box::new(end)));
@@ -320,7 +320,7 @@
                 ran_ms,
                 checkpoint: String::new(),
             };
-            reports.entry(self.instance(key)).or_default().runs.push(progress);
+            reports.entry(self.instance_of(key)).or_default().runs.push(progress);
         }
         for (instance, report) in reports {
             self.progress.insert(&instance, report, now);
--- a/crates/rampbay-jobs/tests/support/planner.rs
+++ b/crates/rampbay-jobs/tests/support/planner.rs
@@ -1,4 +1,4 @@
-//! A planner on tables made of records, round by round.
+//! A planner that runs rounds on a table built from records.
 
 use std::time::Duration;
 
@@ -15,28 +15,28 @@
 
 use super::{settings, step, task, worker_record};
 
-/// A planner with what it goes by.
+/// A planner with the inputs of its rounds.
 pub struct PlannerRig {
     /// The planner.
     pub planner: Planner,
     /// Its table.
     pub table: JobTable,
-    /// What agents have reported.
+    /// Progress that agents have reported.
     pub progress: ProgressTable,
     /// The configuration.
     pub routing: Routing,
     /// The failure domains that operators have drained.
     pub drained: DrainedDomains,
-    /// Age of what is known of the operators' orders.
+    /// Age of the known drain orders.
     pub drain_orders_age: Option<Duration>,
     /// When the planner began.
     pub started: Instant,
-    /// Time of day.
+    /// Wall-clock time, in milliseconds.
     pub wall: u64,
 }
 
 impl PlannerRig {
-    /// Makes a rig of some workers.
+    /// Creates a rig with some workers.
     pub fn new(workers: &[(&str, WorkerRecord)]) -> Self {
         let mut rig = Self {
             planner: Planner::new(settings().planner()),
@@ -55,7 +55,7 @@
         rig
     }
 
-    /// A rig of workers with 8 accelerators each, three a rack.
+    /// Creates a rig with workers of 8 accelerators each, three per rack.
     pub fn of_workers(count: usize) -> Self {
         let name = |index: usize| format!("i-{index}");
         let names: Vec<String> = (0..count).map(name).collect();
@@ -65,7 +65,7 @@
         Self::new(&workers)
     }
 
-    /// Takes a record into the table.
+    /// Applies a record to the table.
     pub fn put(&mut self, record: &Record) {
         self.table.apply(&record.encode());
     }
@@ -84,7 +84,7 @@
         }];
     }
 
-    /// Plans one round, without taking it in.
+    /// Runs one round without applying its records.
     pub fn round(&mut self) -> Vec<KeyedRecord> {
         self.planner.round(&RoundInputs {
             table: &self.table,
@@ -97,7 +97,11 @@
         })
     }
 
-    /// Plans until nothing changes.
+    /// Runs rounds and applies their records until a round changes nothing.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the plan still changes after 20 rounds.
     pub fn plan(&mut self) {
         for _ in 0..20 {
             let records = self.round();
@@ -106,15 +110,15 @@
             }
             records.iter().for_each(|record| self.table.apply(record));
         }
-        panic!("the planner doesn't come to rest");
+        panic!("the plan still changes after 20 rounds");
     }
 
-    /// Lets time pass in which all agents report.
+    /// Advances the time while all agents report.
     pub async fn advance(&mut self, time: Duration) {
         self.advance_with_silent(time, "").await;
     }
 
-    /// Lets time pass in which all agents but one report.
+    /// Advances the time while all agents but the one of the worker `silent` report.
     pub async fn advance_with_silent(&mut self, time: Duration, silent: &str) {
         let end = Instant::now() + time;
         while Instant::now() < end {
@@ -150,9 +154,9 @@
         runs
     }
 
-    /// Ends a task's present run.
+    /// Ends a task's current run.
     pub fn end(&mut self, id: &TaskId, reason: EndReason) {
-        let (attempt, instance) = self.placed(id);
+        let (attempt, instance) = self.latest_run(id);
         self.put(&Record::Ended(Box::new(RunEnd {
             task: id.clone(),
             attempt,
@@ -162,8 +166,8 @@
         })));
     }
 
-    /// Returns attempt and worker of a task's latest run.
-    pub fn placed(&self, id: &TaskId) -> (u32, String) {
+    /// Returns the attempt and the worker of a task's latest run.
+    pub fn latest_run(&self, id: &TaskId) -> (u32, String) {
         let plan = self.table.jobs[&id.job].plan.as_ref().expect("a plan");
         let task = plan.task(id).expect("a task");
         (task.attempt, task.instance.clone())
@@ -171,33 +175,33 @@
 
     /// Returns the worker of a task's latest run.
     pub fn instance_of(&self, id: &TaskId) -> String {
-        self.placed(id).1
+        self.latest_run(id).1
     }
 
-    /// Returns where a task stands.
+    /// Returns the status of a task.
     pub fn status_of(&self, id: &TaskId) -> TaskStatus {
         let plan = self.table.jobs[&id.job].plan.as_ref();
         plan.and_then(|plan| plan.task(id)).map_or(TaskStatus::Waiting, |task| task.status)
     }
 
-    /// Lists where a job's tasks stand.
+    /// Lists the statuses of a job's tasks.
     pub fn statuses(&self, job: &str) -> Vec<TaskStatus> {
         let Some(plan) = &self.table.jobs[job].plan else { return Vec::new() };
         plan.tasks(&job.to_owned()).map(|(_, task)| task.status).collect()
     }
 
-    /// Returns what callers see of a job.
+    /// Returns the status of a job that callers see.
     pub fn job_status(&self, job: &str) -> JobStatus {
         self.table.jobs[job].status()
     }
 }
 
-/// What an agent reports of a task's first run.
+/// Returns the progress that an agent reports of a task's first run.
 pub fn progress(job: &str, index: u32, percent: u32, ran_ms: u64) -> RunProgress {
     RunProgress { task: task(job, index), attempt: 1, percent, ran_ms, checkpoint: String::new() }
 }
 
-/// A gang of `count` tasks that hold `devices` accelerators each.
+/// Returns a gang step of `count` tasks that hold `devices` accelerators each.
 pub fn gang(count: u32, devices: u64) -> Step {
     Step { gang: true, ..step(count, devices) }
 }
--- a/crates/rampbay-jobs/tests/uptake.rs
+++ b/crates/rampbay-jobs/tests/uptake.rs
@@ -1,7 +1,7 @@
-//! Runs that were assigned to a worker and that its agent doesn't take up.
+//! Runs that were assigned to a worker and that its agent doesn't pick up.
 //!
-//! Seen: accepted jobs had nothing running while there was room. Their tasks were assigned to a worker whose agent had
-//! passed their accounts over; it reported for 70 s, and the planner left them there.
+//! Guards against accepted jobs without runs while capacity is free. Their tasks were assigned to a worker whose
+//! agent had skipped their plans; the agent reported for 70 s without these runs, and the planner left them there.
 
 mod support;
 
@@ -17,7 +17,7 @@
 const JOB: &str = "00000000000000aa";
 const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Lets a worker's agent report a few times, with the first task's run or without.
+/// Has a worker's agent report `times` times, with or without the first task's run.
 async fn report(rig: &mut PlannerRig, instance: &str, times: u32, lists_run: bool) {
     for _ in 0..times {
         sleep(REPORT_INTERVAL).await;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn run_not_taken_up_placed_elsewhere_once_stopped() {
+fn run_not_picked_up_placed_elsewhere_once_stopped() {
     on_virtual_time(async {
         let mut rig = rig_with_run();
         let instance = rig.instance_of(&task(JOB, 0));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn run_that_was_reported_stays() {
+fn run_reported_once_stays() {
     on_virtual_time(async {
         let mut rig = rig_with_run();
         let instance = rig.instance_of(&task(JOB, 0));
@@ -77,7 +77,7 @@
     });
 }
 
-/// An agent that hasn't reported for a while may have had no way to hear of the run either.
+/// An agent that hasn't reported for a while may not have been able to learn of the run either.
 #[test]
 fn time_without_reports_not_counted() {
     on_virtual_time(async {
@@ -90,9 +90,9 @@
     });
 }
 
-/// A gang doesn't wait for a member that never comes: it is placed again as a whole.
+/// A gang doesn't wait for a member that is never picked up: it is stopped and placed again as a whole.
 #[test]
-fn gang_with_member_not_taken_up_stopped() {
+fn gang_with_member_not_picked_up_stopped() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(3);
         rig.submit(job(JOB, 1, gang(2, 8)));
--- a/crates/rampbay-jobs/tests/uptake_times.rs
+++ b/crates/rampbay-jobs/tests/uptake_times.rs
@@ -1,5 +1,7 @@
-//! What counts as time in which an agent didn't take a run up.
-//! Seen: a run stopped 1.4 s after it was assigned, since its agent had reported without it before.
+//! The time that counts as time in which an agent didn't pick up a run.
+//!
+//! Guards against counting reports from before the assignment: a run was stopped 1.4 s after it was assigned, since its
+//! agent had reported without it before.
 
 mod support;
 
@@ -14,7 +16,7 @@
 
 const JOB: &str = "00000000000000aa";
 
-/// Lets a worker's agent report once after some time, without a run.
+/// Has a worker's agent report once after some time, without any run.
 async fn report_after(rig: &mut PlannerRig, instance: &str, time_ms: u64) {
     sleep(Duration::from_millis(time_ms)).await;
     rig.progress.note_read(Instant::now());
@@ -22,8 +24,8 @@
     rig.plan();
 }
 
-/// Agents of idle workers report every two seconds, and one report may come late. Work that is assigned between two of
-/// them wasn't there for the agent to take up before.
+/// Agents of idle workers report every two seconds, and one report may be late. An agent couldn't pick up a run
+/// before the run was assigned between two of its reports.
 #[rstest]
 #[case::in_time(2000, 1900)]
 #[case::late(3000, 1200)]
@@ -35,7 +37,7 @@
         rig.progress.note_read(Instant::now());
         rig.submit(job(JOB, 1, step(1, 8)));
         rig.plan();
-        // Another agent reports: the planner looks at the runs.
+        // Another agent reports, so the planner checks the runs.
         report_after(&mut rig, "i-other", 50).await;
         report_after(&mut rig, "i-0", 150).await;
         report_after(&mut rig, "i-0", after_ms).await;
