--- a/crates/rampbay-jobs/src/losses.rs
+++ b/crates/rampbay-jobs/src/losses.rs
@@ -79,7 +79,7 @@
     /// began is unknown.
     pub may_have_begun: bool,
     /// Whether the run may have begun, nothing else may have run there, and the worker was lost soon after the start.
-    /// Workers that are lost for other reasons mostly are so later.
+    /// A worker that is lost for another reason is mostly lost later.
     pub is_proof: bool,
     /// Whether nothing had been started there after the run. A task that crashes its worker mostly does so soon.
     pub was_youngest: bool,
--- a/crates/rampbay-jobs/src/planner.rs
+++ b/crates/rampbay-jobs/src/planner.rs
@@ -201,7 +201,7 @@
         settle::settle(&mut draft, inputs, &mut self.settled);
         drain::record_drained_domains(&mut draft, inputs);
         evict::evict(self, &mut draft, &workers, inputs);
-        evict::give_up_departed(self, &mut draft, inputs);
+        evict::remove_departed(self, &mut draft, inputs);
         self.speeds.update(&draft, inputs, &self.forecasts);
         watch::move_runs(self, &mut draft, &workers, inputs);
         let waits = if drain::check_orders_known(self, inputs) {
--- a/crates/rampbay-jobs/src/planner/evict.rs
+++ b/crates/rampbay-jobs/src/planner/evict.rs
@@ -46,7 +46,7 @@
 
 /// Removes workers that have deregistered and whose agents stopped before they could record the end
 /// of the incarnation. The leases of these workers are never renewed again.
-pub fn give_up_departed(planner: &mut Planner, draft: &mut Draft<'_>, inputs: &RoundInputs<'_>) {
+pub fn remove_departed(planner: &mut Planner, draft: &mut Draft<'_>, inputs: &RoundInputs<'_>) {
     let workers = &inputs.table.workers;
     let has_departed = |instance: &str| workers.get(instance).is_some_and(|known| known.departed);
     planner.departed_since.retain(|instance, _| has_departed(instance));
--- a/crates/rampbay-jobs/src/planner/fleet_state.rs
+++ b/crates/rampbay-jobs/src/planner/fleet_state.rs
@@ -168,7 +168,7 @@
         self.workers[place].freed_soon.give_net_of(held, &mut self.overcommit[place]);
     }
 
-    /// Marks the workers where isolated runs of a job are as closed.
+    /// Marks the workers of a job's isolated runs as closed.
     fn close_for_job(
         &mut self,
         draft: &Draft<'_>,
--- a/crates/rampbay-jobs/src/planner/health.rs
+++ b/crates/rampbay-jobs/src/planner/health.rs
@@ -22,7 +22,7 @@
 /// Time for which other workers are preferred after a refused start, which is never the job's fault.
 const AVOID_TIME_AFTER_REFUSAL: Duration = Duration::from_millis(4000);
 
-/// First time for which a worker is blocked after it refused a start. It doubles with each refusal after such a pause,
+/// Initial time for which a worker is blocked after it refused a start. It doubles with each refusal after such a pause,
 /// until a run starts there.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(250);
 /// Longest of these pauses; by then the worker's next heartbeat with its capacity has arrived.
--- a/crates/rampbay-jobs/src/planner/isolation.rs
+++ b/crates/rampbay-jobs/src/planner/isolation.rs
@@ -111,10 +111,10 @@
     }
     let idle: Vec<WorkerIndex> =
         need.eligible(fleet).iter().copied().filter(|&place| fleet.is_idle(place)).collect();
-    let occurred_at = |place: WorkerIndex| {
+    let was_lost_at = |place: WorkerIndex| {
         losses.is_some_and(|known| known.occurred_at(&fleet.workers[place].record.node))
     };
-    let elsewhere = idle.iter().copied().filter(|&place| !occurred_at(place)).collect();
+    let elsewhere = idle.iter().copied().filter(|&place| !was_lost_at(place)).collect();
     for places in [elsewhere, idle] {
         if let Some(found) = place_on(fleet, waiting, need, places, inputs) {
             found.iter().for_each(|&place| fleet.close(place));
--- a/crates/rampbay-jobs/src/planner/lost.rs
+++ b/crates/rampbay-jobs/src/planner/lost.rs
@@ -32,7 +32,7 @@
 pub struct RecentlyLost(BTreeMap<InstanceId, Duration>);
 
 impl RecentlyLost {
-    /// Records that workers were lost, and drops those lost before [`COMMON_CAUSE_WINDOW`].
+    /// Records that workers were lost, and drops those lost longer ago than [`COMMON_CAUSE_WINDOW`].
     pub fn note(&mut self, gone: impl Iterator<Item = InstanceId>, now: Duration) {
         self.0.retain(|_, at| now.saturating_sub(*at) < COMMON_CAUSE_WINDOW);
         self.0.extend(gone.map(|instance| (instance, now)));
@@ -142,7 +142,7 @@
     let begun_here: Vec<&OrphanedRun> = lost.iter().filter(may_have_begun).collect();
     let units: BTreeSet<(JobId, UnitKey)> =
         begun_here.iter().map(|run| unit_of(draft, &run.task)).collect();
-    // Runs that no plan names any more ran beside the others nevertheless.
+    // A run that no plan names any more still ran beside the others.
     let others = begun.map_or(0, |runs| runs.len().saturating_sub(begun_here.len()));
     let is_alone = begun.is_some() && units.len() == 1 && others == 0;
     for run in begun_here {
