--- a/crates/rampbay-jobs/src/planner/progress.rs
+++ b/crates/rampbay-jobs/src/planner/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of all runs, as the agents report it.
+//! Progress of all runs, as reported by the agents.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,47 +11,47 @@
 
 /// A run's latest progress.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// How far it is, 0 to 100.
+pub struct ObservedProgress {
+    /// Progress, 0 to 100.
     pub percent: u32,
-    /// When it came there.
-    pub since: Instant,
-    /// When its agent saw it first.
+    /// When this percentage was first reported.
+    pub unchanged_since: Instant,
+    /// When its agent first saw the run.
     pub first_seen: Instant,
-    /// What it saved last.
+    /// Its latest checkpoint.
     pub checkpoint: Checkpoint,
-    /// Where it runs.
+    /// Its worker.
     pub instance: InstanceId,
-    /// How fast it gets on.
+    /// Rate of its progress.
     pub rate: Rate,
 }
 
-/// How fast a run gets on, measured between two of its agent's listings.
+/// Rate of a run's progress, measured between two reports of its agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rate {
-    /// Percent a second over the last interval, if there was one.
+    /// Percent a second over the last interval, if one was measured.
     pub percent_per_s: Option<f64>,
-    /// Number of intervals.
+    /// Number of measured intervals.
     pub intervals: u32,
     begin_percent: u32,
     begin_ran_ms: u64,
 }
 
 /// Shortest interval over which a rate is measured.
-const SHORTEST_INTERVAL_MS: u64 = 900;
+const MIN_INTERVAL_MS: u64 = 900;
 
 impl Rate {
     fn begin(run: &RunProgress) -> Self {
         Self { begin_percent: run.percent, begin_ran_ms: run.ran_ms, ..Self::default() }
     }
 
-    /// Takes in where the run is now.
+    /// Returns the rate after another report on the run.
     fn advance(self, run: &RunProgress) -> Self {
         let Some(interval) = run.ran_ms.checked_sub(self.begin_ran_ms) else {
-            // Its agent has started again.
+            // The agent process was restarted, so it counts the run's time anew.
             return Self::begin(run);
         };
-        if interval < SHORTEST_INTERVAL_MS || run.percent >= FULL_PERCENT {
+        if interval < MIN_INTERVAL_MS || run.percent >= FULL_PERCENT {
             return self;
         }
         let gained = run.percent.saturating_sub(self.begin_percent);
@@ -64,36 +64,36 @@
     }
 }
 
-/// Progress of a run that is done, or waits for the other members of its gang.
+/// Progress of a run that is done or waits for the other members of its gang, in percent.
 pub const FULL_PERCENT: u32 = 100;
 
 /// A run and its progress.
 #[derive(Clone, Debug)]
-struct SeenRun {
+struct ObservedRun {
     task: TaskId,
     attempt: u32,
-    seen: Seen,
+    seen: ObservedProgress,
 }
 
-impl SeenRun {
-    fn is(&self, task: &TaskId, attempt: u32) -> bool {
+impl ObservedRun {
+    fn matches(&self, task: &TaskId, attempt: u32) -> bool {
         self.attempt == attempt && self.task == *task
     }
 }
 
-/// The runs that are known at a worker.
+/// The known runs of a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct RunsAt<'a> {
-    listed: &'a [SeenRun],
-    /// Runs that are listed no longer.
-    ended: &'a [SeenRun],
+    listed: &'a [ObservedRun],
+    /// Runs that are no longer reported.
+    ended: &'a [ObservedRun],
 }
 
 impl<'a> RunsAt<'a> {
-    /// Returns the progress of one of them.
-    pub fn find(&self, task: &TaskId, attempt: u32) -> Option<&'a Seen> {
+    /// Returns the progress of a run, if it is among them.
+    pub fn find(&self, task: &TaskId, attempt: u32) -> Option<&'a ObservedProgress> {
         let mut runs = self.listed.iter().chain(self.ended);
-        runs.find(|run| run.is(task, attempt)).map(|run| &run.seen)
+        runs.find(|run| run.matches(task, attempt)).map(|run| &run.seen)
     }
 }
 
@@ -102,81 +102,81 @@
 struct Report {
     received_at: Instant,
     silent: Duration,
-    /// What it lists.
-    runs: Vec<SeenRun>,
+    /// The runs that it lists.
+    runs: Vec<ObservedRun>,
 }
 
-/// What an agent's latest report says of it.
+/// How recent an agent's latest report is, and what it says of the worker.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportView {
-    /// How long the agent hasn't reported, while reports could be read.
+    /// Time since the agent's last report, as far as reports could be read.
     pub age: Duration,
-    /// How long its worker hadn't answered it at the report.
+    /// Time for which the worker hadn't answered the agent when it reported.
     pub silent: Duration,
-    /// Whether it has reported since reports could last be read again.
-    pub is_heard: bool,
+    /// Whether the agent has reported since the end of the last outage of the reports.
+    pub has_reported: bool,
 }
 
 /// Progress of all runs.
 #[derive(Debug, Default)]
 pub struct ProgressTable {
     reports: BTreeMap<InstanceId, Report>,
-    /// Runs that are listed no longer, by their workers.
-    ended: BTreeMap<InstanceId, Vec<SeenRun>>,
-    /// Rises with each report.
+    /// Runs that are no longer reported, by worker.
+    ended: BTreeMap<InstanceId, Vec<ObservedRun>>,
+    /// Incremented with each report.
     version: u64,
-    /// Reports older than this time may be missing only because none could be read.
+    /// End of the last outage of the reports: a report from before may be missing only because it couldn't be read.
     readable_since: Option<Instant>,
     last_read: Option<Instant>,
 }
 
-/// Time between reads beyond which the reports' ages say nothing about the agents.
-const READ_GAP: Duration = Duration::from_millis(1500);
+/// Longest time between two reads; after a longer one the ages of reports say nothing about the agents.
+const MAX_READ_GAP: Duration = Duration::from_millis(1500);
 
 impl ProgressTable {
-    /// Takes note that the reports could be read at this time.
+    /// Records that the reports could be read at a time.
     pub fn note_read(&mut self, now: Instant) {
-        let gap = self.last_read.is_none_or(|last| now - last > READ_GAP);
+        let gap = self.last_read.is_none_or(|last| now - last > MAX_READ_GAP);
         if gap {
             self.readable_since = Some(now);
         }
         self.last_read = Some(now);
     }
 
-    /// Returns a number that rises with each report.
+    /// Returns a number that is incremented with each report.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns what an agent's latest report says of it.
+    /// Returns how recent the latest report on a worker is, and how long the worker has been silent.
     pub fn report(&self, instance: &str, now: Instant) -> ReportView {
         let report = self.reports.get(instance);
         let silent = report.map_or(Duration::ZERO, |report| report.silent);
         let Some(readable) = self.readable_since else {
-            return ReportView { age: Duration::ZERO, silent, is_heard: false };
+            return ReportView { age: Duration::ZERO, silent, has_reported: false };
         };
         let received = report.map_or(readable, |report| report.received_at);
-        let is_readable = self.last_read.is_some_and(|last| now - last <= READ_GAP);
+        let is_readable = self.last_read.is_some_and(|last| now - last <= MAX_READ_GAP);
         let age = now.saturating_duration_since(received.max(readable));
         ReportView {
             age: if is_readable { age } else { Duration::ZERO },
             silent,
-            is_heard: received > readable,
+            has_reported: received > readable,
         }
     }
 
-    /// Returns when the latest report on a worker came.
+    /// Returns when the latest report on a worker was received.
     pub fn reported_at(&self, instance: &str) -> Option<Instant> {
         self.reports.get(instance).map(|report| report.received_at)
     }
 
     /// Returns the progress of a run at a worker.
-    pub fn run(&self, instance: &str, task: &TaskId, attempt: u32) -> Option<&Seen> {
+    pub fn run(&self, instance: &str, task: &TaskId, attempt: u32) -> Option<&ObservedProgress> {
         self.runs_at(instance).find(task, attempt)
     }
 
-    /// Returns the runs that are known at a worker.
+    /// Returns the known runs of a worker.
     pub fn runs_at(&self, instance: &str) -> RunsAt<'_> {
         RunsAt {
             listed: self.reports.get(instance).map_or(&[], |report| &report.runs),
@@ -184,52 +184,61 @@
         }
     }
 
-    /// Iterates over all runs that are known, worker by worker.
-    pub fn runs(&self) -> impl Iterator<Item = (&TaskId, u32, &Seen)> {
+    /// Iterates over all known runs, first the reported ones and then those no longer reported.
+    pub fn runs(&self) -> impl Iterator<Item = (&TaskId, u32, &ObservedProgress)> {
         let listed = self.reports.values().flat_map(|report| &report.runs);
         let ended = self.ended.values().flatten();
         listed.chain(ended).map(|run| (&run.task, run.attempt, &run.seen))
     }
 
-    /// Returns how long a run's reports have said the same. Time without reports doesn't count.
-    pub fn same_for(&self, seen: &Seen) -> Duration {
+    /// Returns the time for which a run's reported progress hasn't changed. Time without reports doesn't count.
+    pub fn unchanged_for(&self, seen: &ObservedProgress) -> Duration {
         let report = self.reports.get(&seen.instance);
-        report.map_or(Duration::ZERO, |r| r.received_at.saturating_duration_since(seen.since))
+        report.map_or(Duration::ZERO, |r| {
+            r.received_at.saturating_duration_since(seen.unchanged_since)
+        })
     }
 
-    /// Takes in a report.
+    /// Applies a report.
     pub fn insert(&mut self, instance: &str, report: ProgressReport, now: Instant) {
         self.version += 1;
         let mut before = self.reports.remove(instance).map_or_else(Vec::new, |known| known.runs);
         before.append(self.ended.entry(instance.to_owned()).or_default());
         let mut runs = Vec::with_capacity(report.runs.len());
         for run in report.runs {
-            let place = before.iter().position(|known| known.is(&run.task, run.attempt));
+            let place = before.iter().position(|known| known.matches(&run.task, run.attempt));
             let known = place.map(|place| before.swap_remove(place).seen);
             runs.push(Self::advance(instance, known.as_ref(), run, now));
         }
-        self.keep_ended(instance, before, now);
+        self.retain_ended(instance, before, now);
         let silent = Duration::from_millis(report.silent_ms);
         self.reports.insert(instance.to_owned(), Report { received_at: now, silent, runs });
     }
 
-    fn advance(instance: &str, known: Option<&Seen>, run: RunProgress, now: Instant) -> SeenRun {
+    fn advance(
+        instance: &str,
+        known: Option<&ObservedProgress>,
+        run: RunProgress,
+        now: Instant,
+    ) -> ObservedRun {
         let rate = known.map_or_else(|| Rate::begin(&run), |seen| seen.rate.advance(&run));
         let same = known.filter(|seen| seen.percent == run.percent);
-        let seen = Seen {
+        let seen = ObservedProgress {
             percent: run.percent,
-            since: same.map_or(now, |seen| seen.since),
-            first_seen: known.map_or_else(|| began(&run, now), |seen| seen.first_seen),
+            unchanged_since: same.map_or(now, |seen| seen.unchanged_since),
+            first_seen: known.map_or_else(|| first_seen_at(&run, now), |seen| seen.first_seen),
             checkpoint: run.checkpoint,
             instance: instance.to_owned(),
             rate,
         };
-        SeenRun { task: run.task, attempt: run.attempt, seen }
+        ObservedRun { task: run.task, attempt: run.attempt, seen }
     }
 
-    /// Keeps runs that are listed no longer for a while.
-    fn keep_ended(&mut self, instance: &str, mut over: Vec<SeenRun>, now: Instant) {
-        over.retain(|run| now.saturating_duration_since(run.seen.since) < KEEP_ENDED);
+    /// Keeps runs that are no longer reported for [`ENDED_RETENTION`].
+    fn retain_ended(&mut self, instance: &str, mut over: Vec<ObservedRun>, now: Instant) {
+        over.retain(|run| {
+            now.saturating_duration_since(run.seen.unchanged_since) < ENDED_RETENTION
+        });
         if over.is_empty() {
             self.ended.remove(instance);
         } else {
@@ -237,22 +246,23 @@
         }
     }
 
-    /// Forgets a worker's report, and keeps for a while what its runs saved.
+    /// Removes a worker's report, and keeps its runs with their checkpoints for a while.
     fn forget(&mut self, instance: &str, now: Instant) {
         self.version += 1;
         let mut runs = self.reports.remove(instance).map_or_else(Vec::new, |known| known.runs);
         runs.extend(self.ended.remove(instance).unwrap_or_default());
-        self.keep_ended(instance, runs, now);
+        self.retain_ended(instance, runs, now);
     }
 }
 
-/// Returns when a run was first seen by its agent. A planner that takes over so knows how old runs are.
-fn began(run: &RunProgress, now: Instant) -> Instant {
+/// Returns when a run was first seen by its agent, computed from the report, so that a planner that takes over
+/// knows the ages of runs.
+fn first_seen_at(run: &RunProgress, now: Instant) -> Instant {
     now.checked_sub(Duration::from_millis(run.ran_ms)).unwrap_or(now)
 }
 
-/// How long the progress of a run that is no longer listed is kept, for its checkpoint.
-const KEEP_ENDED: Duration = Duration::from_secs(30);
+/// Time for which the progress of a run that is no longer reported is kept, for its checkpoint.
+const ENDED_RETENTION: Duration = Duration::from_secs(30);
 
 impl Sink for ProgressTable {
     fn reset(&mut self) {}
--- a/crates/rampbay-jobs/src/planner/workers.rs
+++ b/crates/rampbay-jobs/src/planner/workers.rs
@@ -1,4 +1,4 @@
-//! The workers as one round sees them.
+//! The workers and the ages of their agents' reports in one round.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -16,14 +16,14 @@
 pub struct WorkerView<'a> {
     /// Its id.
     pub instance: &'a InstanceId,
-    /// What its agent says of it.
+    /// Its record, written by its agent.
     pub record: &'a Rc<WorkerRecord>,
-    /// How long its agent hasn't reported, since this planner knows the worker.
+    /// Time since its agent's last report; at most the time for which this planner has known the worker.
     pub report_age: Duration,
-    /// How long it hadn't answered its agent at the last report.
+    /// Time for which it hadn't answered its agent at the last report.
     pub silent: Duration,
-    /// Whether its agent has reported since reports could last be read again.
-    pub is_heard: bool,
+    /// Whether its agent has reported since the end of the last outage of the reports.
+    pub has_reported: bool,
 }
 
 /// All workers, in the order of their ids.
@@ -31,11 +31,11 @@
 pub struct WorkerViews<'a> {
     /// The workers.
     pub views: Vec<WorkerView<'a>>,
-    places: HashMap<&'a str, usize>,
+    indices: HashMap<&'a str, usize>,
 }
 
 impl<'a> WorkerViews<'a> {
-    /// Looks at all workers. `known_since` says since when this planner has known each.
+    /// Collects all workers. `known_since` holds the times since which this planner has known each.
     pub fn new(inputs: &RoundInputs<'a>, known_since: &BTreeMap<InstanceId, Duration>) -> Self {
         let now = Instant::now();
         let views = inputs.table.workers.iter().map(|(instance, record)| {
@@ -46,22 +46,22 @@
                 record,
                 report_age: report.age.min(inputs.now.saturating_sub(known)),
                 silent: report.silent,
-                is_heard: report.is_heard,
+                has_reported: report.has_reported,
             }
         });
         let views: Vec<WorkerView<'a>> = views.collect();
-        let places = views.iter().enumerate();
-        let places = places.map(|(place, view)| (view.instance.as_str(), place)).collect();
-        Self { views, places }
+        let indices = views.iter().enumerate();
+        let indices = indices.map(|(index, view)| (view.instance.as_str(), index)).collect();
+        Self { views, indices }
     }
 
-    /// Returns the place of a worker in the list.
-    pub fn place(&self, instance: &str) -> Option<usize> {
-        self.places.get(instance).copied()
+    /// Returns the index of a worker in the list.
+    pub fn index(&self, instance: &str) -> Option<usize> {
+        self.indices.get(instance).copied()
     }
 
     /// Returns a worker.
     pub fn get(&self, instance: &str) -> Option<&WorkerView<'a>> {
-        self.place(instance).map(|place| &self.views[place])
+        self.index(instance).map(|index| &self.views[index])
     }
 }
