--- a/crates/rampbay-jobs/src/agent/orders.rs
+++ b/crates/rampbay-jobs/src/agent/orders.rs
@@ -5,8 +5,8 @@
 
 use tokio::time::Instant;
 
-use crate::account::TaskStatus;
 use crate::metrics::metrics;
+use crate::plan::TaskStatus;
 use crate::record::EndReason;
 use crate::worker::{Refusal, StartOrder, Started, WorkerError};
 
@@ -143,7 +143,7 @@
             let sent = Instant::now();
             self.lease_sent.set(sent);
             let outcome = self.worker.start(&order).await;
-            metrics().ordered("start");
+            metrics().count_order("start");
             log::info!(
                 "event=J166 run ordered task={} attempt={} worker={} outcome={outcome:?} took_ms={} position={} view_age_ms={}",
                 order.task,
@@ -230,7 +230,7 @@
         !self.is_draining()
             && !self.is_in_drained_domain()
             && !self.is_evicted()
-            && table.wants_run(&self.instance, &key.0, key.1)
+            && table.should_run(&self.instance, &key.0, key.1)
             && self.parts.freshness.is_within(self.parts.settings.start_age)
     }
 
--- a/crates/rampbay-jobs/src/agent/registering.rs
+++ b/crates/rampbay-jobs/src/agent/registering.rs
@@ -142,7 +142,7 @@
             Some(known) => **known != *self.record.borrow() || !self.is_registered_alone(&table),
             // Its runs are being given up. It comes back without any, and only once no account names it:
             // what is still to be given up would be started here as well.
-            None => is_empty && !table.names_worker(&self.instance),
+            None => is_empty && !table.has_runs_assigned_to(&self.instance),
         }
     }
 
--- a/crates/rampbay-jobs/src/agent/stops.rs
+++ b/crates/rampbay-jobs/src/agent/stops.rs
@@ -5,8 +5,8 @@
 
 use tokio::time::Instant;
 
-use crate::account::TaskStatus;
 use crate::metrics::metrics;
+use crate::plan::TaskStatus;
 use crate::worker::{StopOrder, WorkerError};
 
 use super::life::Life;
@@ -88,7 +88,7 @@
             }
             let unanswered = matches!(run.phase, Phase::Unanswered(since)
                 if since.elapsed() > self.parts.settings.unanswered_start);
-            shows_up || unanswered || evicted || !table.wants_run(&self.instance, task, *attempt)
+            shows_up || unanswered || evicted || !table.should_run(&self.instance, task, *attempt)
         });
         unwanted.map(|(key, _)| key.clone()).collect()
     }
@@ -99,7 +99,7 @@
         while !self.is_over() {
             let order = StopOrder { fencing_token: self.fencing_token(), ..order.clone() };
             let outcome = self.worker.stop(&order).await;
-            metrics().ordered("stop");
+            metrics().count_order("stop");
             log::info!(
                 "event=J167 stop ordered task={} attempt={} worker={} outcome={outcome:?}",
                 key.0,
--- a/crates/rampbay-jobs/src/candidacy.rs
+++ b/crates/rampbay-jobs/src/candidacy.rs
@@ -166,7 +166,7 @@
 async fn join(candidate: &Candidate, generation: u64) -> Option<Candidacy> {
     let mut joins = FuturesUnordered::new();
     for _ in 0..JOIN_INTERVALS {
-        joins.push(candidate.store.stand(&candidate.node, generation));
+        joins.push(candidate.store.stand_for_election(&candidate.node, generation));
         let answer = async {
             loop {
                 match joins.next().await {
--- a/crates/rampbay-jobs/src/echo.rs
+++ b/crates/rampbay-jobs/src/echo.rs
@@ -29,7 +29,7 @@
 
 #[async_trait(?Send)]
 impl Layer for EchoStore {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         self.store.as_ref()
     }
 
--- a/crates/rampbay-jobs/src/planner.rs
+++ b/crates/rampbay-jobs/src/planner.rs
@@ -40,7 +40,7 @@
 
 use crate::drained::DrainedDomains;
 use crate::job::{EpochMillis, InstanceId, JobId};
-use crate::parts::AccountForm;
+use crate::parts::PlanLayout;
 use crate::record::KeyedRecord;
 use crate::routing::Routing;
 use crate::table::JobTable;
@@ -84,7 +84,7 @@
     /// How much longer work takes away from its data or spread over racks.
     pub remote_penalty: u64,
     /// How accounts are written.
-    pub account_form: AccountForm,
+    pub plan_layout: PlanLayout,
 }
 
 /// What one round goes by.
@@ -210,7 +210,7 @@
         self.waits.update(&waits, inputs.now);
         expire::expire(self, &mut draft, inputs);
         expire::expire_registrations(self, &mut draft, inputs);
-        draft.into_records(self.settings.account_form)
+        draft.into_records(self.settings.plan_layout)
     }
 
     /// Returns why a step of a job waits, if it does.
@@ -234,7 +234,7 @@
     fn note_lost_workers(&mut self, inputs: &RoundInputs<'_>) {
         let table = inputs.table;
         let gave_notice = |instance: &InstanceId| {
-            table.lives_over.get(instance).is_some_and(|over| over.gave_notice)
+            table.ended_incarnations.get(instance).is_some_and(|over| over.gave_notice)
         };
         let gone = self
             .known_since
--- a/crates/rampbay-jobs/src/planner/evict.rs
+++ b/crates/rampbay-jobs/src/planner/evict.rs
@@ -83,7 +83,7 @@
             view.record.node,
             view.report_age.as_millis()
         );
-        metrics().decided("evict");
+        metrics().count_decision("evict");
         let newest = inputs.table.registrations().newest(view.instance);
         let number = newest.map_or(0, |(number, _)| number);
         let value = Record::Evicted(view.instance.clone()).encode().value;
--- a/crates/rampbay-jobs/src/planner/expire.rs
+++ b/crates/rampbay-jobs/src/planner/expire.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::job::JobId;
-use crate::keys::{life_key, losses_key, over_key, plan_key, worker_key};
+use crate::keys::{life_key, losses_key, plan_key, registrations_end_key, worker_key};
 use crate::parts::part_keys;
 use crate::record::Record;
 
@@ -64,7 +64,7 @@
     }
     let old = known.iter().filter(|(_, since)| inputs.now.saturating_sub(**since) >= KEEP_OVER);
     for (instance, _) in old {
-        draft.remove(over_key(instance));
+        draft.remove(registrations_end_key(instance));
         draft.remove(life_key(instance));
     }
 }
--- a/crates/rampbay-jobs/src/planner/lost.rs
+++ b/crates/rampbay-jobs/src/planner/lost.rs
@@ -5,10 +5,10 @@
 
 use tokio::time::Instant;
 
-use crate::account::{TaskPlan, TaskStatus};
 use crate::job::{InstanceId, JobId, TaskId};
 use crate::losses::{LastRun, LostRun, UnitKey};
 use crate::metrics::metrics;
+use crate::plan::{TaskPlan, TaskStatus};
 use crate::record::{EndReason, RunEnd};
 
 use super::draft::Draft;
@@ -76,8 +76,9 @@
 
 fn lost_runs(draft: &Draft<'_>, id: &JobId) -> Vec<Lost> {
     let Some(plan) = draft.plan(id) else { return Vec::new() };
-    let is_lost =
-        |task: &TaskPlan| task.occupies() && !draft.table.workers.contains_key(&task.instance);
+    let is_lost = |task: &TaskPlan| {
+        task.may_be_running() && !draft.table.workers.contains_key(&task.instance)
+    };
     let lost = plan.tasks_where(id, is_lost).filter_map(|task| {
         let known = plan.task(&task)?;
         Some(Lost { attempt: known.attempt, instance: known.instance.clone(), task })
@@ -95,7 +96,7 @@
         report.age.as_millis(),
         report.is_heard
     );
-    metrics().decided("give_up");
+    metrics().count_decision("give_up");
 }
 
 fn give_up(draft: &mut Draft<'_>, inputs: &RoundInputs<'_>, run: Lost) {
@@ -129,7 +130,7 @@
     instance: &InstanceId,
     lost: &[Lost],
 ) {
-    let over = inputs.table.lives_over.get(instance);
+    let over = inputs.table.ended_incarnations.get(instance);
     if over.is_some_and(|over| over.gave_notice) {
         return;
     }
@@ -235,7 +236,7 @@
         losses.proofs(),
         losses.0.iter().map(|lost| &lost.node).collect::<Vec<_>>()
     );
-    metrics().decided("give_up_crashing");
+    metrics().count_decision("give_up_crashing");
     if let Some(task) = draft.edit(id).task_mut(&task) {
         task.status = TaskStatus::Failed;
     }
--- a/crates/rampbay-jobs/src/planner/watch.rs
+++ b/crates/rampbay-jobs/src/planner/watch.rs
@@ -4,9 +4,9 @@
 
 use tokio::time::Instant;
 
-use crate::account::{TaskPlan, TaskStatus};
 use crate::job::{Step, Submission, TaskId};
 use crate::metrics::metrics;
+use crate::plan::{TaskPlan, TaskStatus};
 
 use super::draft::Draft;
 use super::notice::{NoticedRun, Rest};
@@ -66,7 +66,7 @@
             }
         }
         for task in moved {
-            metrics().decided("move");
+            metrics().count_decision("move");
             draft.stop_unit(&task);
         }
     }
--- a/crates/rampbay-jobs/tests/agent.rs
+++ b/crates/rampbay-jobs/tests/agent.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::{EndReason, Record};
 use rstest::rstest;
-use support::store::{MemoryStore, Trouble};
+use support::store::{MemoryStore, StoreFault};
 use support::worker::{FakeWorker, StartTrouble};
 use support::{
     AgentRig, job, on_virtual_time, running_plan, seed_running_job, step, table_of, task,
@@ -74,11 +74,11 @@
 fn end_kept_before_noted() {
     on_virtual_time(async {
         let rig = running_rig(1).await;
-        rig.store.trouble.set(Trouble::Refuses);
+        rig.store.fault.set(StoreFault::Refuses);
         rig.worker.end(&task(JOB, 0), 1, EndReason::Done);
         sleep(Duration::from_secs(3)).await;
         assert_eq!(rig.worker.seen(), 0, "the store hasn't kept the end");
-        rig.store.trouble.set(Trouble::None);
+        rig.store.fault.set(StoreFault::None);
         sleep(Duration::from_secs(2)).await;
         assert_eq!(reasons(&rig.store), vec![EndReason::Done]);
     });
@@ -177,7 +177,7 @@
 fn outage_leases(#[case] outage: Duration, #[case] runs: bool) {
     on_virtual_time(async move {
         let rig = running_rig(1).await;
-        rig.store.trouble.set(Trouble::Refuses);
+        rig.store.fault.set(StoreFault::Refuses);
         sleep(outage).await;
         assert_eq!(!rig.worker.running().is_empty(), runs);
     });
--- a/crates/rampbay-jobs/tests/ages.rs
+++ b/crates/rampbay-jobs/tests/ages.rs
@@ -245,7 +245,7 @@
         Ok(Snapshot { records, read_from, end, age: Duration::ZERO })
     }
 
-    async fn stand(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
+    async fn stand_for_election(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
         Err(ReadError::Unavailable)
     }
 
@@ -269,7 +269,7 @@
 
 #[async_trait(?Send)]
 impl Layer for Passing {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         &self.way
     }
 
--- a/crates/rampbay-jobs/tests/apart.rs
+++ b/crates/rampbay-jobs/tests/apart.rs
@@ -8,8 +8,8 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
 use rampbay_jobs::losses::{JobLosses, LostRun, UnitKey, UnitLosses};
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::Record;
 use support::planner::{PlannerRig, gang};
 use support::{job, on_virtual_time, step, task};
--- a/crates/rampbay-jobs/tests/decisions.rs
+++ b/crates/rampbay-jobs/tests/decisions.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
 use rampbay_jobs::job::{Step, Submission};
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::planner::{Planner, WaitReason};
 use rampbay_jobs::record::{EndReason, ProgressReport};
 use rstest::rstest;
--- a/crates/rampbay-jobs/tests/drains.rs
+++ b/crates/rampbay-jobs/tests/drains.rs
@@ -4,14 +4,14 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
 use rampbay_jobs::drained::DrainedDomains;
 use rampbay_jobs::job::Step;
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::{EndReason, Record, STATE_TOPIC, WorkerRecord};
 use rstest::rstest;
 use support::leader::{OPERATOR_TOPIC, start_leader};
 use support::planner::{PlannerRig, gang};
-use support::store::{MemoryStore, Trouble};
+use support::store::{MemoryStore, StoreFault};
 use support::worker::{FakeWorker, StartTrouble};
 use support::{
     AgentRig, job, on_virtual_time, running_plan, seed_running_job, step, table_of, worker_record,
@@ -158,11 +158,11 @@
         start_leader(&store, "entry-1", 1, None);
         sleep(Duration::from_millis(500)).await;
         assert!(table_of(&store).drained.contains("east"));
-        store.trouble.set(Trouble::Refuses);
+        store.fault.set(StoreFault::Refuses);
         sleep(Duration::from_millis(1500)).await;
         store.put_into(OPERATOR_TOPIC, "west", b"{}");
         store.forget_history(OPERATOR_TOPIC);
-        store.trouble.set(Trouble::None);
+        store.fault.set(StoreFault::None);
         sleep(Duration::from_secs(2)).await;
         let drained = table_of(&store).drained;
         assert!(drained.contains("east") && drained.contains("west"), "{drained:?}");
--- a/crates/rampbay-jobs/tests/late_across_lives.rs
+++ b/crates/rampbay-jobs/tests/late_across_lives.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::JobStatus;
+use rampbay_jobs::plan::JobStatus;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
--- a/crates/rampbay-jobs/tests/layer.rs
+++ b/crates/rampbay-jobs/tests/layer.rs
@@ -63,7 +63,7 @@
         Ok(Snapshot::default())
     }
 
-    async fn stand(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
+    async fn stand_for_election(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
         self.note("stand");
         Ok(Candidacy::default())
     }
@@ -77,7 +77,7 @@
         Ok(None)
     }
 
-    async fn regained(&self) {
+    async fn recovered(&self) {
         self.note("regained");
     }
 }
@@ -86,7 +86,7 @@
 struct Plain(Rc<dyn Store>);
 
 impl Layer for Plain {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         self.0.as_ref()
     }
 }
@@ -103,10 +103,10 @@
         let _ = store.read(STATE_TOPIC, 0, Duration::ZERO).await;
         let _ = store.end(STATE_TOPIC, 0).await;
         let _ = store.newest(STATE_TOPIC).await;
-        let _ = store.stand("entry-1", 0).await;
+        let _ = store.stand_for_election("entry-1", 0).await;
         store.resign("entry-1").await;
         let _ = store.holder().await;
-        store.regained().await;
+        store.recovered().await;
         let all =
             ["append", "report", "read", "end", "newest", "stand", "resign", "holder", "regained"];
         assert_eq!(*below.0.borrow(), all);
--- a/crates/rampbay-jobs/tests/planner.rs
+++ b/crates/rampbay-jobs/tests/planner.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::{JobStatus, TaskStatus};
 use rampbay_jobs::job::{Step, Submission, TaskId};
+use rampbay_jobs::plan::{JobStatus, TaskStatus};
 use rampbay_jobs::record::{EndReason, ProgressReport, Record, RunEnd, WorkerRecord};
 use rstest::rstest;
 use support::planner::{PlannerRig, gang, progress};
--- a/crates/rampbay-jobs/tests/power_losses.rs
+++ b/crates/rampbay-jobs/tests/power_losses.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::JobStatus;
 use rampbay_jobs::job::Step;
+use rampbay_jobs::plan::JobStatus;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -102,7 +102,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let site = Site::start(4);
         let mut noted = NotedEnds::watch(&site);
-        tokio::task::spawn_local(Rc::clone(&site.store).land_late());
+        tokio::task::spawn_local(Rc::clone(&site.store).apply_late());
         sleep(BEGINS).await;
         *site.store.late.borrow_mut() = Some(ChaCha8Rng::seed_from_u64(seed));
         let mut jobs = 0;
--- a/crates/rampbay-jobs/tests/reborn.rs
+++ b/crates/rampbay-jobs/tests/reborn.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::{EndReason, Record};
 use rstest::rstest;
 use support::store::MemoryStore;
@@ -77,7 +77,7 @@
 fn life_before_given_up_by_listing() {
     on_virtual_time(async {
         let rig = after_first_run().await;
-        rig.hush();
+        rig.stop_heartbeats();
         rig.worker.replace(NEW);
         sleep(SETTLES).await;
         assert!(!is_registered(&rig.store, OLD));
@@ -103,7 +103,7 @@
 fn life_before_takes_note_of_nothing_at_the_next_one() {
     on_virtual_time(async {
         let rig = after_first_run().await;
-        rig.hush();
+        rig.stop_heartbeats();
         rig.worker.replace(NEW);
         sleep(SETTLES).await;
         assert_eq!(rig.worker.seen(), 0);
@@ -131,7 +131,7 @@
     on_virtual_time(async {
         let rig = after_first_run().await;
         assign(&rig.store, SECOND_JOB, OLD);
-        rig.hush();
+        rig.stop_heartbeats();
         rig.worker.replace(NEW);
         // The order reaches the new life before any listing of it.
         rig.worker.start_unheard(&task(SECOND_JOB, 0), 1);
--- a/crates/rampbay-jobs/tests/shrinking.rs
+++ b/crates/rampbay-jobs/tests/shrinking.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::{JobStatus, TaskStatus};
 use rampbay_jobs::job::Resources;
+use rampbay_jobs::plan::{JobStatus, TaskStatus};
 use rampbay_jobs::record::{EndReason, Leader, Record, WorkerRecord};
 use rampbay_jobs::settings::Settings;
 use rstest::rstest;
@@ -161,7 +161,7 @@
 fn start_at_a_worker_not_heard_for_long_refused() {
     on_virtual_time(async {
         let rig = running_rig().await;
-        rig.hush();
+        rig.stop_heartbeats();
         sleep(Duration::from_secs(4)).await;
         assign_more(&rig);
         sleep(SETTLES).await;
@@ -269,7 +269,8 @@
         shrunk.iter().for_each(|machine| machine.devices.set(DEVICES));
         sleep(LONG).await;
         let starts = site.starts.borrow();
-        let beyond: Vec<&Start> = starts.iter().filter(|s| s.beside as u64 >= s.room).collect();
+        let beyond: Vec<&Start> =
+            starts.iter().filter(|s| s.runs_beside as u64 >= s.known_devices).collect();
         assert!(beyond.is_empty(), "{beyond:?}");
         for id in &ids {
             assert_eq!(site.status(id), JobStatus::Succeeded, "{:?}", site.starts_of(id));
--- a/crates/rampbay-jobs/tests/support/fleet.rs
+++ b/crates/rampbay-jobs/tests/support/fleet.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
 use rampbay_jobs::drained::DrainedDomains;
 use rampbay_jobs::job::{Resources, Step, Submission, TaskId};
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::planner::{Planner, ProgressTable, RoundInputs};
 use rampbay_jobs::record::{
     EndReason, KeyedRecord, ProgressReport, Record, RunEnd, RunProgress, WorkerRecord,
@@ -218,7 +218,7 @@
         let mut occupying = BTreeMap::new();
         for (id, job) in &self.table.jobs {
             let Some(plan) = &job.plan else { continue };
-            let tasks = plan.tasks(id).filter(|(_, task)| task.occupies());
+            let tasks = plan.tasks(id).filter(|(_, task)| task.may_be_running());
             occupying.extend(tasks.map(|(id, task)| ((id, task.attempt), task.status)));
         }
         occupying
--- a/crates/rampbay-jobs/tests/support/planner.rs
+++ b/crates/rampbay-jobs/tests/support/planner.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::{JobStatus, TaskStatus};
 use rampbay_jobs::drained::DrainedDomains;
 use rampbay_jobs::job::{Step, Submission, TaskId};
+use rampbay_jobs::plan::{JobStatus, TaskStatus};
 use rampbay_jobs::planner::{Planner, ProgressTable, RoundInputs};
 use rampbay_jobs::record::{
     EndReason, KeyedRecord, ProgressReport, Record, RunEnd, RunProgress, WorkerRecord,
@@ -142,8 +142,9 @@
         let mut runs = Vec::new();
         for (id, job) in &self.table.jobs {
             let Some(plan) = &job.plan else { continue };
-            let here =
-                plan.tasks(id).filter(|(_, task)| task.instance == instance && task.occupies());
+            let here = plan
+                .tasks(id)
+                .filter(|(_, task)| task.instance == instance && task.may_be_running());
             runs.extend(here.map(|(id, task)| (id, task.attempt)));
         }
         runs
--- a/crates/rampbay-peer/src/routes.rs
+++ b/crates/rampbay-peer/src/routes.rs
@@ -51,7 +51,7 @@
         let known: RefCell<Option<(u64, T)>> = RefCell::default();
         move || {
             let table = self.live.table.borrow();
-            let state = table.process_state();
+            let state = table.membership_version();
             let mut known = known.borrow_mut();
             if let Some((_, list)) = known.as_ref().filter(|(of, _)| *of == state) {
                 return list.clone();
@@ -120,7 +120,7 @@
     /// Lists the entries above this one in the tree, the nearest first.
     fn above<'a>(&self, table: &'a JobTable) -> Vec<&'a Member> {
         let tree = Tree::of(table);
-        if !self.settings.member(true).is_ample() {
+        if !self.settings.member(true).is_well_provisioned() {
             return self.near_first(ample(table).collect(), table);
         }
         // One that isn't in the state yet may be either; the leader is sure to have what it needs.
@@ -232,7 +232,7 @@
     /// Returns who could lead in place of this process, if it has little room itself.
     #[must_use]
     pub fn successors(self) -> Option<Rc<dyn Successors>> {
-        let is_ample = self.settings.member(true).is_ample();
+        let is_ample = self.settings.member(true).is_well_provisioned();
         (!is_ample).then(|| Rc::new(AmplePeers(self)) as Rc<dyn Successors>)
     }
 }
--- a/crates/rampbay-peer/src/served.rs
+++ b/crates/rampbay-peer/src/served.rs
@@ -71,7 +71,7 @@
         }
         StoreRequest::Newest { topic } => StoreReply::Newest(store.newest(&topic).await),
         StoreRequest::Stand { member, generation } => {
-            StoreReply::Stand(store.stand(&member, generation).await)
+            StoreReply::Stand(store.stand_for_election(&member, generation).await)
         }
         StoreRequest::Holder => StoreReply::Holder(store.holder().await),
         StoreRequest::Ping => StoreReply::Pong,
--- a/crates/rampbay-peer/src/tree.rs
+++ b/crates/rampbay-peer/src/tree.rs
@@ -1,7 +1,7 @@
 //! How records travel: the entries as a tree, with the leader at its root.
 //!
 //! Whoever serves many others needs room: a wide link and a good share of a core. Such entries are called ample
-//! ([`Member::is_ample`]). [`FAN_OUT`] of them, the inner ones, read through the leader; the other ample ones, the
+//! ([`Member::is_well_provisioned`]). [`FAN_OUT`] of them, the inner ones, read through the leader; the other ample ones, the
 //! outer ones, read through the inner ones; small entries and agents read through all ample ones but the leader. So
 //! a record comes to each process in three hops at most, and the leader serves no more of them however large the
 //! fleet is. What grows with the fleet is shared by the ample entries, which grow with it.
@@ -84,7 +84,7 @@
 
 /// Iterates over the ample entries.
 pub fn ample(table: &JobTable) -> impl Iterator<Item = &Member> {
-    entries(table).filter(|member| member.is_ample())
+    entries(table).filter(|member| member.is_well_provisioned())
 }
 
 /// Orders processes so that the first few of them stand in as many failure domains as there are.
--- a/crates/rampbay-peer/src/ways.rs
+++ b/crates/rampbay-peer/src/ways.rs
@@ -183,7 +183,7 @@
 
 /// Returns how a process reads the whole state when it starts.
 fn starting(settings: &Settings, routes: &Routes, follows: &Follows) -> Starting {
-    let is_ample = follows.is_entry() && settings.member(true).is_ample();
+    let is_ample = follows.is_entry() && settings.member(true).is_well_provisioned();
     let (least, spread) = match follows {
         Follows::OwnWorker => AGENT_START,
         Follows::Everything { .. } if is_ample => AMPLE_START,
@@ -202,7 +202,7 @@
     let Follows::Everything { orders_topic, orders } = follows else { return Followed::new() };
     let state = (STATE_TOPIC.to_owned(), Rc::clone(&live.freshness));
     let followed = Followed::from([state, (orders_topic.clone(), Rc::clone(orders))]);
-    if settings.member(true).is_ample() {
+    if settings.member(true).is_well_provisioned() {
         followed.values().for_each(|freshness| freshness.keep_recent());
     }
     followed
