--- a/crates/rampbay-jobs/src/agent/ends.rs
+++ b/crates/rampbay-jobs/src/agent/ends.rs
@@ -96,7 +96,7 @@
 
     fn record_of(&self, end: &PendingEnd) -> KeyedRecord {
         let (task, attempt) = end.key.clone();
-        metrics().count_end(end.reason.word());
+        metrics().count_end(end.reason.label());
         let percent = self.runs.borrow().open.get(&end.key).map_or(0, |run| run.percent);
         log::info!(
             "event=J165 run over task={task} attempt={attempt} reason={:?} worker={} number={} percent={percent}",
--- a/crates/rampbay-jobs/src/record.rs
+++ b/crates/rampbay-jobs/src/record.rs
@@ -42,7 +42,7 @@
 impl EndReason {
     /// Returns its name in logs and metrics.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn label(self) -> &'static str {
         match self {
             Self::Done => "done",
             Self::Failed => "failed",
