--- a/crates/rampbay-jobs/src/job.rs
+++ b/crates/rampbay-jobs/src/job.rs
@@ -4,7 +4,7 @@
 
 /// Identifies a job; chosen by its caller, 16 hexadecimal digits.
 pub type JobId = String;
-/// Identifies one life of a worker process.
+/// Identifies one incarnation of a worker process.
 pub type InstanceId = String;
 /// Name of a process of rampbay.
 pub type NodeName = String;
@@ -18,7 +18,7 @@
 pub type ServiceName = String;
 /// Milliseconds since the Unix epoch, by the clock of the process that read them.
 pub type EpochMillis = u64;
-/// What a task saved of its progress; opaque, empty if nothing.
+/// Progress that a task has saved; opaque, empty if there is none.
 pub type Checkpoint = String;
 
 /// Resources that one task holds, or that a worker has.
@@ -44,17 +44,17 @@
             && self.devices >= demand.devices
     }
 
-    /// Returns how often `demand` fits into these resources.
+    /// Returns how many times `demand` fits into these resources.
     #[must_use]
     pub fn count_of(&self, demand: &Self) -> u32 {
-        let times = |there: u64, each: u64| there.checked_div(each).unwrap_or(u64::MAX);
+        let times = |available: u64, each: u64| available.checked_div(each).unwrap_or(u64::MAX);
         let count = times(self.cpu_milli, demand.cpu_milli)
             .min(times(self.memory_mb, demand.memory_mb))
             .min(times(self.devices, demand.devices));
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Takes `demand` away, stopping at zero.
+    /// Subtracts `demand`, saturating at zero.
     pub const fn take(&mut self, demand: &Self) {
         self.cpu_milli = self.cpu_milli.saturating_sub(demand.cpu_milli);
         self.memory_mb = self.memory_mb.saturating_sub(demand.memory_mb);
@@ -71,15 +71,15 @@
         }
     }
 
-    /// Gives `demand` back, less what it takes of `owed`.
+    /// Adds the part of `demand` that exceeds `owed`, and subtracts `demand` from `owed`.
     pub const fn give_net_of(&mut self, demand: &Self, owed: &mut Self) {
-        let mut left = *demand;
-        left.take(owed);
+        let mut excess = *demand;
+        excess.take(owed);
         owed.take(demand);
-        self.give(&left);
+        self.give(&excess);
     }
 
-    /// Gives `demand` back.
+    /// Adds `demand`.
     pub const fn give(&mut self, demand: &Self) {
         self.cpu_milli += demand.cpu_milli;
         self.memory_mb += demand.memory_mb;
@@ -99,15 +99,15 @@
 pub struct Step {
     /// Number of its tasks.
     pub count: u32,
-    /// What each task holds.
+    /// Resources that each task holds.
     pub demand: Resources,
-    /// The caller's rough guess of a task's duration, in milliseconds.
+    /// The caller's estimate of a task's duration, in milliseconds.
     pub estimate_ms: u64,
-    /// Earlier steps that must be done beforehand, counted from 0.
+    /// Earlier steps that must be done before this one starts, numbered from 0.
     pub depends_on: Vec<u32>,
     /// Whether its tasks save their progress.
     pub checkpointing: bool,
-    /// Whether its tasks only work jointly.
+    /// Whether its tasks form a gang, which works only as a whole.
     pub gang: bool,
     /// Whether its tasks slow each other down when spread over racks.
     pub same_rack: bool,
@@ -115,16 +115,16 @@
     pub required_label: String,
     /// Rack that holds its data; empty for none.
     pub data_rack: String,
-    /// Most of its tasks on one worker; 0 for no limit.
+    /// Maximum number of its tasks on one worker; 0 for no limit.
     pub max_per_worker: u32,
     /// Whether its tasks run until the job is cancelled.
     pub long_running: bool,
-    /// Whether its tasks use only processor time that others leave.
+    /// Whether its tasks use only processor time that other tasks leave idle.
     pub fills: bool,
 }
 
 impl Step {
-    /// Returns what one of its tasks takes from a worker's room.
+    /// Returns what one of its tasks takes of a worker's capacity.
     #[must_use]
     pub const fn charge(&self) -> Resources {
         let cpu_milli = if self.fills { 0 } else { self.demand.cpu_milli };
@@ -132,30 +132,30 @@
     }
 }
 
-/// A job as it was accepted, with the terms of its queue at that time.
+/// A job as it was accepted, with the settings of its queue at that time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
     /// The caller's id of the job.
     pub id: JobId,
-    /// Workspace whose key the caller showed; empty on a public queue.
+    /// Workspace whose key the caller presented; empty on a public queue.
     pub workspace: WorkspaceName,
-    /// Queue that took the job.
+    /// Queue that accepted the job.
     pub queue: QueueName,
     /// Service whose workers run it.
     pub service: ServiceName,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Failed runs of a task, or of a gang, after which the job has failed.
+    /// Number of failed runs of a task, or of a gang, after which the job has failed.
     pub attempts: u32,
-    /// Factor on the longest chain of work in the objective, in thousandths.
+    /// Factor on the longest chain of dependent steps in the objective, in thousandths.
     pub stretch_permille: u64,
-    /// Added to the objective, in milliseconds.
+    /// Time added to the objective, in milliseconds.
     pub target_ms: u64,
-    /// Text handed to each task.
+    /// Text passed to each task.
     pub payload: String,
     /// The steps.
     pub steps: Vec<Step>,
-    /// When the first occurrence falls due; 0 if the job isn't timed.
+    /// When the first occurrence is due; 0 if the job isn't timed.
     pub first_run_ms: EpochMillis,
     /// Time between occurrences, in milliseconds.
     pub interval_ms: u64,
@@ -166,7 +166,7 @@
 }
 
 impl Submission {
-    /// Returns how often the steps are run.
+    /// Returns how many times the steps are run.
     #[must_use]
     pub fn occurrence_count(&self) -> u32 {
         self.occurrences.max(1)
@@ -181,7 +181,7 @@
         self.first_run_ms + self.interval_ms * u64::from(number)
     }
 
-    /// Returns whether the job is run at times of its own.
+    /// Returns whether the job is timed: its occurrences are due at set times.
     #[must_use]
     pub fn is_timed(&self) -> bool {
         self.occurrences > 0
@@ -203,8 +203,8 @@
             let dependents = self.steps.iter().enumerate().skip(index + 1);
             let dependents =
                 dependents.filter(|(_, step)| step.depends_on.contains(&(index as u32)));
-            let after = dependents.map(|(dependent, _)| chains[dependent]).max();
-            chains[index] += after.unwrap_or(0);
+            let longest = dependents.map(|(dependent, _)| chains[dependent]).max();
+            chains[index] += longest.unwrap_or(0);
         }
         chains
     }
@@ -216,7 +216,7 @@
         longest_chain_ms * self.stretch_permille.max(1000) / 1000 + self.target_ms
     }
 
-    /// Returns when occurrence `number` should have ended to be in time, by the caller's estimates.
+    /// Returns the time by which occurrence `number` should end, by the caller's estimates.
     #[must_use]
     pub fn objective_at(&self, number: u32) -> EpochMillis {
         self.due_at(number) + self.objective_ms(self.chain_ms())
--- a/crates/rampbay-jobs/src/keys.rs
+++ b/crates/rampbay-jobs/src/keys.rs
@@ -1,14 +1,14 @@
 //! The keys under which the state is kept.
 //!
-//! A call without answer may be carried out seconds later. Keys of what processes write without an order among them have a
-//! number besides, so that a late copy concerns only what it was sent for.
+//! A call that got no answer may be carried out seconds later. The keys of records that several processes write without
+//! coordination end with a number, so that a late copy affects only the record that it was sent for.
 
 use crate::job::TaskId;
 use crate::record::{EndReason, RunEnd};
 use crate::registrations::RegistrationNumber;
 
-/// Returns the key of a run's end. A start that failed has a key of its own, so that it can't
-/// hide an end that was reported before.
+/// Returns the key of a run's end. A start that failed has a key of its own, so that its record can't
+/// replace an end that was reported before.
 #[must_use]
 pub fn end_key(end: &RunEnd) -> String {
     let kind = if end.reason == EndReason::NotStarted { "refusal" } else { "end" };
@@ -24,7 +24,7 @@
 /// Splits the key of a refusal into its run's key and the registration under which it was reported.
 #[must_use]
 pub fn split_refusal_key(key: &str) -> (&str, RegistrationNumber) {
-    // Before the number stand the kind, the task and the attempt.
+    // The number follows the kind, the task and the attempt.
     let is_numbered = key.split('/').count() > 3;
     if is_numbered { split_number(key) } else { (key, 0) }
 }
@@ -41,44 +41,44 @@
     format!("over/{instance}")
 }
 
-/// Returns the key under which it is kept how a worker's life ended.
+/// Returns the key of the record of how an incarnation of a worker ended.
 #[must_use]
 pub fn life_key(instance: &str) -> String {
     format!("life/{instance}")
 }
 
-/// Returns the key of a job's account.
+/// Returns the key of a job's plan.
 #[must_use]
 pub fn plan_key(job: &str) -> String {
     format!("plan/{job}")
 }
 
-/// Returns the key of the part of an account that begins with a task.
+/// Returns the key of the part of a plan that starts with a task.
 #[must_use]
 pub fn part_key(first: &TaskId) -> String {
     format!("part/{first}")
 }
 
-/// Returns the job whose account, or part of it, stands under a key; `None` under any other.
+/// Returns the job whose plan, or a part of it, is kept under a key; `None` for any other key.
 #[must_use]
-pub fn account_job(key: &str) -> Option<&str> {
+pub fn plan_job(key: &str) -> Option<&str> {
     let part = || key.strip_prefix("part/")?.split_once('.').map(|(job, _)| job);
     key.strip_prefix("plan/").or_else(part)
 }
 
-/// Returns the job or the worker that the record under a key is about; `None` where it is about neither.
+/// Returns the job or the worker that the record under a key is about; `None` if it is about neither.
 #[must_use]
 pub fn subject(key: &str) -> Option<&str> {
     let (kind, name) = key.split_once('/')?;
     match kind {
         "job" | "cancel" | "losses" | "over" | "life" => Some(name),
-        "plan" | "part" => account_job(key),
+        "plan" | "part" => plan_job(key),
         "worker" | "evicted" => Some(split_worker_key(key).0),
         _ => None,
     }
 }
 
-/// Returns the key of what a job has lost.
+/// Returns the key of the runs that a job has lost.
 #[must_use]
 pub fn losses_key(job: &str) -> String {
     format!("losses/{job}")
--- a/crates/rampbay-jobs/src/plan.rs
+++ b/crates/rampbay-jobs/src/plan.rs
@@ -1,46 +1,46 @@
-//! The planner's account of a job: where each of its tasks stands.
+//! The plan of a job: the state of each of its tasks, as the planner decides and records it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::job::{Checkpoint, InstanceId, JobId, Submission, TaskId};
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskStatus {
-    /// Waits for its turn, its dependencies or a place.
+    /// Waits for its turn, its dependencies or free capacity.
     #[default]
     Waiting,
     /// Assigned to a worker; may be running there.
     Running,
     /// Assigned, and to be stopped.
     Stopping,
-    /// Has ended well.
+    /// Has succeeded.
     Done,
-    /// Has failed for good.
+    /// Has failed, and isn't started again.
     Failed,
 }
 
-/// The planner's account of a task.
+/// The plan of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskPlan {
-    /// Where it stands.
+    /// State of the task.
     pub status: TaskStatus,
     /// Number of its latest run, from 1; 0 before the first.
     pub attempt: u32,
-    /// Runs that have ended failed.
+    /// Number of runs that have failed.
     pub failures: u32,
     /// Latest run that was counted in `failures`.
     pub failed_attempt: u32,
     /// Worker of the latest run.
     pub instance: InstanceId,
-    /// Worker of the latest run that ended failed.
+    /// Worker of the latest run that failed.
     pub failed_at: InstanceId,
-    /// What the next run continues from.
+    /// Checkpoint from which the next run continues.
     pub checkpoint: Checkpoint,
 }
 
 impl TaskPlan {
-    /// Returns whether a run of it may exist at its worker.
+    /// Returns whether a run of the task may exist at its worker.
     #[must_use]
     pub const fn may_be_running(&self) -> bool {
         matches!(self.status, TaskStatus::Running | TaskStatus::Stopping)
@@ -52,12 +52,12 @@
 pub struct Occurrence {
     /// Its number, from 0.
     pub number: u32,
-    /// A list of tasks for each step.
+    /// The plans of the tasks of each step.
     pub steps: Vec<Vec<TaskPlan>>,
 }
 
 impl Occurrence {
-    /// Makes an occurrence none of whose tasks has begun.
+    /// Creates an occurrence none of whose tasks has started.
     #[must_use]
     pub fn not_started(submission: &Submission, number: u32) -> Self {
         let tasks = |count: u32| vec![TaskPlan::default(); count as usize];
@@ -66,15 +66,15 @@
     }
 }
 
-/// What callers see of a job.
+/// Status of a job, as callers see it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
-    /// No task has begun.
+    /// No task has started.
     #[default]
     Queued,
-    /// A task has begun.
+    /// A task has started.
     Running,
-    /// Every task has ended well.
+    /// Every task has succeeded.
     Succeeded,
     /// A task or gang has failed too often.
     Failed,
@@ -83,26 +83,26 @@
 }
 
 impl JobStatus {
-    /// Returns whether it never changes again.
+    /// Returns whether the status never changes again.
     #[must_use]
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Succeeded | Self::Failed | Self::Cancelled)
     }
 }
 
-/// The planner's account of a job.
+/// The plan of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobPlan {
-    /// What callers see.
+    /// Status of the job, as callers see it.
     pub status: JobStatus,
-    /// Occurrences that have begun and not ended.
+    /// Occurrences that have started and not ended.
     pub open: Vec<Occurrence>,
-    /// Number of the next occurrence to begin.
+    /// Number of the next occurrence to start.
     pub next_occurrence: u32,
 }
 
 impl JobPlan {
-    /// Iterates over all tasks with their names.
+    /// Iterates over the tasks of all open occurrences, with their ids.
     pub fn tasks<'a>(
         &'a self,
         job: &'a JobId,
@@ -122,16 +122,16 @@
         })
     }
 
-    /// Iterates over the names of the tasks whose accounts are so.
+    /// Iterates over the ids of the tasks whose plans match a predicate.
     pub fn tasks_where<'a>(
         &'a self,
         job: &'a JobId,
-        is_so: impl Fn(&TaskPlan) -> bool + Copy + 'a,
+        is_match: impl Fn(&TaskPlan) -> bool + Copy + 'a,
     ) -> impl Iterator<Item = TaskId> + 'a {
         self.open.iter().flat_map(move |occurrence| {
             occurrence.steps.iter().enumerate().flat_map(move |(step, tasks)| {
-                let those = tasks.iter().enumerate().filter(move |(_, task)| is_so(task));
-                those.map(move |(index, _)| TaskId {
+                let matching = tasks.iter().enumerate().filter(move |(_, task)| is_match(task));
+                matching.map(move |(index, _)| TaskId {
                     job: job.clone(),
                     occurrence: occurrence.number,
                     step: step as u32,
@@ -141,20 +141,20 @@
         })
     }
 
-    /// Returns the account of a task.
+    /// Returns the plan of a task; `None` if its occurrence isn't open.
     #[must_use]
     pub fn task(&self, id: &TaskId) -> Option<&TaskPlan> {
         let occurrence = self.open.iter().find(|open| open.number == id.occurrence)?;
         occurrence.steps.get(id.step as usize)?.get(id.index as usize)
     }
 
-    /// Returns the account of a task, to change it.
+    /// Returns the plan of a task, to change it; `None` if its occurrence isn't open.
     pub fn task_mut(&mut self, id: &TaskId) -> Option<&mut TaskPlan> {
         let occurrence = self.open.iter_mut().find(|open| open.number == id.occurrence)?;
         occurrence.steps.get_mut(id.step as usize)?.get_mut(id.index as usize)
     }
 
-    /// Iterates over the workers where runs of its tasks may exist, once for each.
+    /// Iterates over the workers where runs of its tasks may exist, once for each such run.
     pub fn workers(&self) -> impl Iterator<Item = &InstanceId> {
         let tasks = self.open.iter().flat_map(|open| open.steps.iter().flatten());
         tasks.filter(|task| task.may_be_running()).map(|task| &task.instance)
--- a/crates/rampbay-jobs/src/recipients.rs
+++ b/crates/rampbay-jobs/src/recipients.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use crate::job::{NodeName, TaskId};
-use crate::keys::{account_job, plan_key, split_worker_key};
+use crate::keys::{plan_job, plan_key, split_worker_key};
 use crate::parts::tasks_from;
 use crate::plan::JobPlan;
 use crate::record::{KeyedRecord, Member, Record};
@@ -149,7 +149,7 @@
         before: &Concerned,
         after: &Concerned,
     ) -> Option<AttachedJob> {
-        let job = self.jobs.get(account_job(key)?)?;
+        let job = self.jobs.get(plan_job(key)?)?;
         let new: BTreeSet<NodeName> = after.agents.difference(&before.agents).cloned().collect();
         let agents = if after.others { Recipients::All } else { Recipients::Agents(new) };
         if agents == Recipients::Agents(BTreeSet::new()) {
--- a/crates/rampbay-jobs/src/record.rs
+++ b/crates/rampbay-jobs/src/record.rs
@@ -1,4 +1,4 @@
-//! What is kept in the store: one record a key, the newest counts.
+//! The records in the store, each under a key. The newest record of a key counts.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,32 +15,32 @@
 use crate::plan::{JobPlan, TaskPlan};
 use crate::registrations::RegistrationNumber;
 
-/// Topic of everything that must last.
+/// Topic of the state, which must be durable.
 pub const STATE_TOPIC: &str = "keyed.rampbay";
 /// Topic of the workers' progress, which only planners read.
 pub const PROGRESS_TOPIC: &str = "keyed.progress";
 
-/// Why a run is over.
+/// Why a run has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndReason {
-    /// It has done its work.
+    /// The run has done its work.
     Done,
-    /// It failed, by its own fault or its worker's.
+    /// The run failed, by its own fault or its worker's.
     Failed,
-    /// It was stopped.
+    /// The run was stopped.
     Stopped,
-    /// Its lease lapsed, or its worker is gone.
+    /// The run's lease expired, or its worker is gone.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the run's gang ended.
     Broken,
-    /// It waited too long for the others of its gang.
+    /// The run waited too long for the other members of its gang.
     Alone,
-    /// It never started.
+    /// The run never started.
     NotStarted,
 }
 
 impl EndReason {
-    /// Returns its name in logs and metrics.
+    /// Returns the label of the reason in logs and metrics.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -55,25 +55,25 @@
     }
 }
 
-/// The end of a run, as the agent beside its worker reports it.
+/// The end of a run, as the agent of its worker reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunEnd {
     /// The task.
     pub task: TaskId,
-    /// The run.
+    /// Number of the run.
     pub attempt: u32,
-    /// Why it is over.
+    /// Why the run has ended.
     pub reason: EndReason,
-    /// What it saved.
+    /// Progress that the run saved.
     pub checkpoint: Checkpoint,
     /// The worker.
     pub instance: InstanceId,
 }
 
-/// A worker as the agent beside it knows it.
+/// A worker, as its agent knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerRecord {
-    /// Its agent.
+    /// Name of its agent.
     pub node: NodeName,
     /// Its service.
     pub service: ServiceName,
@@ -81,15 +81,15 @@
     pub address: String,
     /// Its failure domain.
     pub failure_domain: String,
-    /// What it has in all.
+    /// Its total resources, free or in use.
     pub capacity: Resources,
     /// Its kind and its rack.
     pub labels: Vec<String>,
     /// Whether it takes no new work.
     pub draining: bool,
-    /// When a draining worker leaves at the earliest; 0 if it isn't draining.
+    /// Earliest time at which a draining worker leaves; 0 if it isn't draining.
     pub leaves_at: EpochMillis,
-    /// Whether it has said that it ends now. Its leases are never renewed again.
+    /// Whether the worker has announced that it ends now. Its leases are never renewed again.
     pub departed: bool,
 }
 
@@ -108,34 +108,34 @@
     Submitted(Box<Submission>),
     /// A job was cancelled.
     Cancelled(JobId),
-    /// The planner's account of a job; wide steps are empty.
+    /// The plan of a job; wide steps are empty.
     Plan(JobId, Box<JobPlan>),
-    /// A run has ended; the planner removes it once the account holds it.
+    /// A run has ended; the planner removes the record once the job's plan includes the end.
     Ended(Box<RunEnd>),
-    /// A worker is there.
+    /// A worker is registered.
     Worker(InstanceId, Box<WorkerRecord>),
     /// A worker's runs are given up; its agent may not renew their leases.
     Evicted(InstanceId),
-    /// Who plans, under which epoch.
+    /// Which process leads, under which epoch.
     Leader(Leader),
     /// A process that peers can reach.
     Member(Member),
     /// The failure domains in which nothing is started.
     Drained(DrainedDomains),
-    /// A worker's registrations are over up to this number, also those that land later.
+    /// A worker's registrations up to this number have ended, also those that are appended later.
     Over(InstanceId, RegistrationNumber),
-    /// How a worker's life ended; kept as long as the end of its registrations.
+    /// How an incarnation of a worker ended; kept as long as the end of its registrations.
     LifeOver(InstanceId, Box<LifeOver>),
-    /// The runs of a job that went with their workers.
+    /// The runs of a job that were lost with their workers.
     Losses(JobId, Box<JobLosses>),
-    /// The accounts of tasks of a wide step, from this task on.
+    /// The plans of tasks of a wide step, from this task on.
     Part(TaskId, Vec<TaskPlan>),
 }
 
-/// The planner in charge.
+/// The process that leads, and runs the planner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leader {
-    /// Its process.
+    /// Name of the process.
     pub node: NodeName,
     /// Its epoch, which is the fencing token of its orders.
     pub epoch: u64,
@@ -158,21 +158,22 @@
     pub cpu_milli: u32,
 }
 
-/// Least bandwidth of a machine that serves many others, in megabits a second: all records for eight
-/// entries filled a link of 10 on a day with 2,200 runs.
-const AMPLE_LINK_MBPS: u32 = 100;
-/// Least processor power of a machine that serves many others, in thousandths of a core: that of every
-/// entry on the smallest sites. With 0.12 a leader of 240 workers lagged by a second.
-const AMPLE_CPU_MILLI: u32 = 250;
+/// Minimum bandwidth of a machine that serves many others, in megabits a second: all records for eight
+/// entries filled a link of 10 Mbit/s on a day with 2,200 runs.
+const WELL_PROVISIONED_LINK_MBPS: u32 = 100;
+/// Minimum processor power of a machine that serves many others, in thousandths of a core: every entry
+/// on the smallest sites has as much. With 0.12 of a core, a leader of 240 workers lagged by a second.
+const WELL_PROVISIONED_CPU_MILLI: u32 = 250;
 
 impl Member {
-    /// Returns whether its machine has room to lead, and to pass records on to many others.
+    /// Returns whether the machine has the bandwidth and processor power to lead, and to pass records
+    /// on to many others.
     #[must_use]
     pub const fn is_well_provisioned(&self) -> bool {
-        self.link_mbps >= AMPLE_LINK_MBPS && self.cpu_milli >= AMPLE_CPU_MILLI
+        self.link_mbps >= WELL_PROVISIONED_LINK_MBPS && self.cpu_milli >= WELL_PROVISIONED_CPU_MILLI
     }
 
-    /// Returns whether it passes records on, and has room to pass them on to many.
+    /// Returns whether the process passes records on, and its machine can serve many others.
     #[must_use]
     pub const fn is_well_provisioned_relay(&self) -> bool {
         self.passes_on && self.is_well_provisioned()
@@ -184,22 +185,22 @@
 pub struct RunProgress {
     /// The task.
     pub task: TaskId,
-    /// The run.
+    /// Number of the run.
     pub attempt: u32,
-    /// How far it is, 0 to 100.
+    /// Progress, 0 to 100.
     pub percent: u32,
-    /// For how long its agent had seen it run when it was so far, in milliseconds.
+    /// How long the agent had seen the run running when it reached this progress, in milliseconds.
     pub ran_ms: u64,
-    /// What it saved last.
+    /// Checkpoint that the run saved last.
     pub checkpoint: Checkpoint,
 }
 
-/// A record of [`PROGRESS_TOPIC`], under the worker's id: what an agent sees of its worker.
+/// A record of [`PROGRESS_TOPIC`], under the worker's id: what an agent observes of its worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgressReport {
     /// How long the worker hasn't answered, in milliseconds.
     pub silent_ms: u64,
-    /// All runs there.
+    /// All runs at the worker.
     pub runs: Vec<RunProgress>,
 }
 
@@ -213,7 +214,7 @@
 }
 
 impl KeyedRecord {
-    /// Returns how many bytes of key and value it has.
+    /// Returns the size of key and value, in bytes.
     #[must_use]
     pub const fn size(&self) -> usize {
         self.key.len() + self.value.len()
@@ -228,21 +229,22 @@
     Unreadable {
         /// The key.
         key: String,
-        /// What is wrong.
+        /// The decoding error.
         source: postcard::Error,
     },
-    /// The bytes are a record of something else.
+    /// The bytes are a record that belongs under another key.
     #[error("a record under the key {key} belongs under {own}")]
     Misplaced {
         /// The key.
         key: String,
-        /// The key of what the record is about.
+        /// The key under which the record belongs.
         own: String,
     },
 }
 
 impl Record {
-    /// Returns the key under which it is kept. Those of registrations, refusals and evictions get a number besides.
+    /// Returns the key under which the record is kept, without the number that the keys of registrations, refusals and
+    /// evictions end with.
     #[must_use]
     pub fn key(&self) -> String {
         match self {
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Encodes it with its key.
+    /// Encodes the record with its key.
     #[must_use]
     pub fn encode(&self) -> KeyedRecord {
         KeyedRecord { key: self.key(), value: encode(self) }
@@ -272,8 +274,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes aren't a record of what the key names. Bytes of another writer may read like a
-    /// record by chance; hardly one of this key.
+    /// Returns an error if the bytes aren't a record that belongs under the key. Bytes of another writer may decode to
+    /// a record by chance, but hardly to one that belongs under this key.
     pub fn decode(record: &KeyedRecord) -> Result<Self, RecordError> {
         let key = &record.key;
         let value: Self = postcard::from_bytes(&record.value)
