--- a/crates/rampbay-jobs/src/agent/orders.rs
+++ b/crates/rampbay-jobs/src/agent/orders.rs
@@ -12,7 +12,7 @@
 
 use super::ends::PendingEnd;
 use super::held_back::HeldBack;
-use super::life::Life;
+use super::incarnation::Incarnation;
 use super::room::Fit;
 use super::runs::{Phase, Run, RunKey};
 
@@ -34,7 +34,7 @@
     checkpoint: String,
 }
 
-impl Life {
+impl Incarnation {
     /// Gives orders until the life is over.
     pub(super) async fn give_orders(self: &Rc<Self>) {
         let mut changes = self.parts.freshness.subscribe();
@@ -231,7 +231,7 @@
             && !self.is_in_drained_domain()
             && !self.is_evicted()
             && table.should_run(&self.instance, &key.0, key.1)
-            && self.parts.freshness.is_within(self.parts.settings.start_age)
+            && self.parts.freshness.is_within(self.parts.settings.max_start_table_age)
     }
 
     fn set_phase(&self, key: &RunKey, phase: Phase) {
--- a/crates/rampbay-jobs/src/leader.rs
+++ b/crates/rampbay-jobs/src/leader.rs
@@ -174,7 +174,7 @@
         table: &table,
         routing: &routing,
         drained: &drained,
-        operators_age: operators.age(),
+        drain_orders_age: operators.age(),
         progress: &progress,
         now,
         wall: (parts.wall_clock)(),
--- a/crates/rampbay-jobs/src/planner/expire.rs
+++ b/crates/rampbay-jobs/src/planner/expire.rs
@@ -32,10 +32,9 @@
             planner.ended_since.insert(id.clone(), inputs.now);
         }
     }
-    let old = planner
-        .ended_since
-        .iter()
-        .filter(|(_, since)| inputs.now.saturating_sub(**since) >= planner.settings.keep_ended);
+    let old = planner.ended_since.iter().filter(|(_, since)| {
+        inputs.now.saturating_sub(**since) >= planner.settings.ended_job_retention
+    });
     let old: Vec<JobId> = old.map(|(id, _)| id.clone()).take(MOST_REMOVALS).collect();
     for id in old {
         remove(draft, &id);
@@ -56,9 +55,11 @@
         draft.remove(worker_key(instance, *number));
     }
     let known = &mut planner.over_since;
-    if known.len() != registrations.ended().count() {
-        known.retain(|instance, _| registrations.ended().any(|ended| ended == instance));
-        for instance in registrations.ended() {
+    if known.len() != registrations.workers_with_ended().count() {
+        known.retain(|instance, _| {
+            registrations.workers_with_ended().any(|ended| ended == instance)
+        });
+        for instance in registrations.workers_with_ended() {
             known.entry(instance.clone()).or_insert(inputs.now);
         }
     }
--- a/crates/rampbay-jobs/src/planner/lost.rs
+++ b/crates/rampbay-jobs/src/planner/lost.rs
@@ -6,13 +6,13 @@
 use tokio::time::Instant;
 
 use crate::job::{InstanceId, JobId, TaskId};
-use crate::losses::{LastRun, LostRun, UnitKey};
+use crate::losses::{InFlightRun, LostRun, UnitKey};
 use crate::metrics::metrics;
 use crate::plan::{TaskPlan, TaskStatus};
 use crate::record::{EndReason, RunEnd};
 
 use super::draft::Draft;
-use super::fold::take_in_end;
+use super::settle::take_in_end;
 use super::{Planner, RoundInputs};
 
 /// Runs that were started within this time of each other, in milliseconds, are equally young: more than the orders
@@ -148,7 +148,7 @@
         let last = begun.and_then(|runs| find(runs, run));
         let age_ms = last.map(|last| last.age_ms);
         let is_youngest = age_ms.zip(youngest).is_some_and(|(age, most)| age <= most);
-        let is_proof = is_alone && last.is_some_and(LastRun::went_soon);
+        let is_proof = is_alone && last.is_some_and(InFlightRun::went_soon);
         let (id, unit) = unit_of(draft, &run.task);
         let lost_run = LostRun {
             attempt: run.attempt,
@@ -174,14 +174,14 @@
 }
 
 /// Returns up to which age a run stands out as the youngest, in milliseconds; `None` where too many are of one age.
-fn youngest_age_ms(draft: &Draft<'_>, runs: &[LastRun]) -> Option<u64> {
+fn youngest_age_ms(draft: &Draft<'_>, runs: &[InFlightRun]) -> Option<u64> {
     let age_ms = runs.iter().map(|run| run.age_ms).min()? + SAME_AGE_MS;
     let youngest = runs.iter().filter(|run| run.age_ms <= age_ms);
     let units: BTreeSet<(JobId, UnitKey)> = youngest.map(|run| unit_of(draft, &run.task)).collect();
     (units.len() <= MOST_YOUNGEST).then_some(age_ms)
 }
 
-fn find<'a>(runs: &'a [LastRun], lost: &Lost) -> Option<&'a LastRun> {
+fn find<'a>(runs: &'a [InFlightRun], lost: &Lost) -> Option<&'a InFlightRun> {
     runs.iter().find(|run| run.task == lost.task && run.attempt == lost.attempt)
 }
 
--- a/crates/rampbay-jobs/src/planner/room.rs
+++ b/crates/rampbay-jobs/src/planner/room.rs
@@ -271,7 +271,7 @@
     racks: &[String],
     inputs: &RoundInputs<'_>,
 ) -> Room {
-    let doubt_after = planner.settings.doubt_after;
+    let suspect_after = planner.settings.suspect_after;
     let rack = view.record.rack();
     Room {
         instance: view.instance.clone(),
@@ -281,8 +281,8 @@
             && !keeps_off(view.record, inputs)
             && !planner.health.is_blocked(view.instance, inputs.now)
             && !inputs.table.evicted.contains(view.instance)
-            && view.report_age < doubt_after
-            && view.silent < doubt_after,
+            && view.report_age < suspect_after
+            && view.silent < suspect_after,
         avoided: planner.health.is_avoided(view.instance, inputs.now)
             || planner.pace.is_slow(view.instance),
         speed: planner.pace.machine_speed(view.instance),
--- a/crates/rampbay-jobs/src/process.rs
+++ b/crates/rampbay-jobs/src/process.rs
@@ -86,7 +86,7 @@
 
     /// Takes in records that this process has appended itself, if they follow on what it holds.
     /// `end` is the offset after them; `sent` is when they were sent, if they surely weren't appended before.
-    pub(crate) fn take_in(&self, end: Offset, records: &[KeyedRecord], sent: Option<Moment>) {
+    pub(crate) fn apply_own(&self, end: Offset, records: &[KeyedRecord], sent: Option<Moment>) {
         let known = self.freshness.position();
         if self.freshness.age().is_none() || known + records.len() as u64 != end {
             return;
--- a/crates/rampbay-jobs/src/settings.rs
+++ b/crates/rampbay-jobs/src/settings.rs
@@ -190,15 +190,15 @@
     pub fn agent(&self) -> AgentSettings {
         AgentSettings {
             lease: Duration::from_millis(self.lease_ms),
-            lapse: self.lease_expiry(),
-            guard: GUARD,
-            start_age: Duration::from_millis(2000),
-            room_age: self.room_age(),
-            silence: Duration::from_millis(2500),
+            lease_expiry: self.lease_expiry(),
+            max_renewal_table_age: GUARD,
+            max_start_table_age: Duration::from_millis(2000),
+            max_heartbeat_age: self.room_age(),
+            silence_timeout: Duration::from_millis(2500),
             renewal_wait: Duration::from_millis(1000),
             report_interval: Duration::from_millis(1000),
             idle_report_interval: Duration::from_millis(2000),
-            unanswered_start: Duration::from_millis(100),
+            unanswered_start_timeout: Duration::from_millis(100),
         }
     }
 
@@ -213,13 +213,15 @@
     #[must_use]
     pub fn planner(&self) -> PlannerSettings {
         PlannerSettings {
-            doubt_after: Duration::from_millis(3500),
+            suspect_after: Duration::from_millis(3500),
             evict_after: Duration::from_millis(7000),
-            gone_after: GUARD + self.lease_expiry() + LAPSE_SLACK,
-            departed_after: self.lease_expiry() + LAPSE_SLACK,
+            remove_evicted_after: GUARD + self.lease_expiry() + LAPSE_SLACK,
+            remove_departed_after: self.lease_expiry() + LAPSE_SLACK,
             stall_after: Duration::from_millis(3500),
-            keep_ended: Duration::from_secs(self.status_s * KEEP_FACTOR),
-            operators_age: Duration::from_millis(self.drain_ms * DRAIN_MARGIN_PERMILLE / 1000),
+            ended_job_retention: Duration::from_secs(self.status_s * KEEP_FACTOR),
+            max_drain_orders_age: Duration::from_millis(
+                self.drain_ms * DRAIN_MARGIN_PERMILLE / 1000,
+            ),
             remote_penalty: self.remote_penalty.max(1),
             plan_layout: self.wide_accounts,
         }
--- a/crates/rampbay-jobs/tests/apart.rs
+++ b/crates/rampbay-jobs/tests/apart.rs
@@ -40,7 +40,7 @@
         let mut rig = PlannerRig::of_workers(2);
         submit_suspect(&mut rig);
         rig.submit(job(OTHER, 0, gang(2, 8)));
-        rig.pass(Duration::from_millis(500)).await;
+        rig.advance(Duration::from_millis(500)).await;
         rig.plan();
         assert_eq!(rig.statuses(OTHER), vec![TaskStatus::Running; 2]);
     });
--- a/crates/rampbay-jobs/tests/crashes.rs
+++ b/crates/rampbay-jobs/tests/crashes.rs
@@ -17,7 +17,7 @@
 use rstest::rstest;
 use support::planner::gang;
 use support::site::{Site, Work};
-use support::worker::StartTrouble;
+use support::worker::StartFault;
 use support::{on_virtual_time, step, table_of};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -74,7 +74,7 @@
     on_virtual_time(async {
         let site = Site::start(4);
         for machine in &site.machines {
-            machine.worker.start_trouble.set(StartTrouble::AnswerLost);
+            machine.worker.start_fault.set(StartFault::AnswerLost);
         }
         sleep(BEGINS).await;
         site.submit(KILLER, step(1, 1), Work::Crashes(Duration::from_millis(10)));
--- a/crates/rampbay-jobs/tests/departures.rs
+++ b/crates/rampbay-jobs/tests/departures.rs
@@ -119,7 +119,7 @@
         sleep(Duration::from_millis(500)).await;
         let machine = &site.machines[site.starts_of(JOB)[0].machine];
         // It is stopped, to go elsewhere, and hasn't ended when the worker goes.
-        machine.worker.stops_hang.set(true);
+        machine.worker.ignores_stops.set(true);
         site.give_notice(machine, Duration::from_secs(2));
         sleep(Duration::from_secs(2)).await;
         site.remove_worker(machine);
--- a/crates/rampbay-jobs/tests/late_writes.rs
+++ b/crates/rampbay-jobs/tests/late_writes.rs
@@ -24,7 +24,7 @@
 use support::entry::EntryRelayedStore;
 use support::leader::start_leader;
 use support::store::MemoryStore;
-use support::worker::{FakeWorker, StartTrouble};
+use support::worker::{FakeWorker, StartFault};
 use support::{
     AgentRig, job, on_virtual_time, plan_of, running_plan, seed_running_job, step, table_of, task,
     worker_record,
@@ -114,11 +114,11 @@
             rig.worker.silent.set(true);
             sleep(LAPSES).await;
         } else {
-            rig.worker.start_trouble.set(StartTrouble::Unhealthy);
+            rig.worker.start_fault.set(StartFault::Unhealthy);
             start_leader(&store, "entry-1", 1, None);
             submit(&store);
             sleep(STARTS).await;
-            rig.worker.start_trouble.set(StartTrouble::None);
+            rig.worker.start_fault.set(StartFault::None);
         }
         let worker = Rc::clone(&rig.worker);
         worker.silent.set(false);
@@ -166,11 +166,11 @@
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         let worker = FakeWorker::new(WORKER);
-        worker.start_trouble.set(StartTrouble::Unhealthy);
+        worker.start_fault.set(StartFault::Unhealthy);
         let rig = AgentRig::start(Rc::clone(&store), worker);
         rig.heartbeat(WORKER, 1);
         sleep(STARTS).await;
-        rig.worker.start_unheard(&task(JOB, 0), 1);
+        rig.worker.start_without_agent(&task(JOB, 0), 1);
         assert_eq!(rig.worker.running().len(), 1);
         sleep(Duration::from_secs(4)).await;
         assert_eq!(rig.worker.running(), vec![]);
@@ -207,14 +207,14 @@
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         let worker = FakeWorker::new(WORKER);
-        worker.start_trouble.set(StartTrouble::Unhealthy);
+        worker.start_fault.set(StartFault::Unhealthy);
         let rig = AgentRig::start(Rc::clone(&store), worker);
         rig.heartbeat(WORKER, 1);
         sleep(STARTS).await;
         assert_eq!(rig.worker.starts(), vec![]);
         store.put(&Record::Evicted(WORKER.to_owned()));
         sleep(STARTS).await;
-        rig.worker.start_trouble.set(StartTrouble::None);
+        rig.worker.start_fault.set(StartFault::None);
         assert!(table_of(&store).evicted.is_empty(), "it has returned");
         start_leader(&store, "entry-1", 1, None);
         sleep(Duration::from_secs(10)).await;
@@ -263,7 +263,7 @@
         assert_runs_once(&rig);
         rig.worker.end(&task(JOB, 0), 1, EndReason::Done);
         sleep(SETTLES).await;
-        assert_eq!(rig.worker.seen(), 1);
+        assert_eq!(rig.worker.last_acknowledged(), 1);
         assert_eq!(table_of(&rig.store).status(JOB), Some(JobStatus::Succeeded));
     });
 }
--- a/crates/rampbay-jobs/tests/layer.rs
+++ b/crates/rampbay-jobs/tests/layer.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use rampbay_jobs::echo::EchoStore;
 use rampbay_jobs::job::NodeName;
 use rampbay_jobs::layer::Layer;
 use rampbay_jobs::process::LiveTable;
+use rampbay_jobs::read_your_writes::ReadYourWritesStore;
 use rampbay_jobs::record::{KeyedRecord, STATE_TOPIC};
 use rampbay_jobs::store::{
     AppendError, Batch, Candidacy, Fence, Offset, ReadError, Snapshot, Store,
@@ -93,7 +93,7 @@
 
 #[rstest]
 #[case::plain(|below: Rc<dyn Store>| -> Rc<dyn Store> { Rc::new(Plain(below)) })]
-#[case::echo(|below| -> Rc<dyn Store> { Rc::new(EchoStore::new(below, LiveTable::default())) })]
+#[case::echo(|below| -> Rc<dyn Store> { Rc::new(ReadYourWritesStore::new(below, LiveTable::default())) })]
 fn every_call_reaches_store_below_as_it_is(#[case] over: fn(Rc<dyn Store>) -> Rc<dyn Store>) {
     on_virtual_time(async {
         let below = Rc::new(Noting::default());
--- a/crates/rampbay-jobs/tests/leader.rs
+++ b/crates/rampbay-jobs/tests/leader.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use rampbay_jobs::candidacy::Successors;
+use rampbay_jobs::candidacy::PreferredLeaders;
 use rampbay_jobs::record::{Leader, Record, STATE_TOPIC};
 use rstest::rstest;
 use support::leader::start_leader;
@@ -25,8 +25,8 @@
 }
 
 #[async_trait(?Send)]
-impl Successors for Peer {
-    async fn any_answers(&self) -> bool {
+impl PreferredLeaders for Peer {
+    async fn any_reachable(&self) -> bool {
         self.answers.get()
     }
 }
@@ -34,9 +34,9 @@
 fn start(
     store: &Rc<MemoryStore>,
     node: &str,
-    successors: Option<Rc<dyn Successors>>,
+    preferred_leaders: Option<Rc<dyn PreferredLeaders>>,
 ) -> JoinHandle<()> {
-    start_leader(store, node, node.len() as u64, successors)
+    start_leader(store, node, node.len() as u64, preferred_leaders)
 }
 
 fn holder(store: &MemoryStore) -> Option<String> {
@@ -75,7 +75,7 @@
     on_virtual_time(async {
         let store = MemoryStore::new();
         let peer = Rc::new(Peer { answers: Cell::new(false) });
-        start(&store, SMALL, Some(Rc::clone(&peer) as Rc<dyn Successors>));
+        start(&store, SMALL, Some(Rc::clone(&peer) as Rc<dyn PreferredLeaders>));
         sleep(Duration::from_secs(5)).await;
         assert_eq!(holder(&store).as_deref(), Some(SMALL));
         start(&store, AMPLE, None);
--- a/crates/rampbay-jobs/tests/removals.rs
+++ b/crates/rampbay-jobs/tests/removals.rs
@@ -26,7 +26,7 @@
     rig.plan();
     rig.end(&task(JOB, 0), EndReason::Done);
     rig.plan();
-    rig.pass(settings().planner().keep_ended + Duration::from_secs(2)).await;
+    rig.advance(settings().planner().ended_job_retention + Duration::from_secs(2)).await;
     let plan = rig.table.jobs[JOB].plan.clone().expect("an account");
     (rig.round(), plan.as_ref().clone())
 }
--- a/crates/rampbay-jobs/tests/returns.rs
+++ b/crates/rampbay-jobs/tests/returns.rs
@@ -122,7 +122,7 @@
             sleep(Duration::from_millis(1)).await;
         }
         // A stop takes its time.
-        rig.worker.stops_hang.set(true);
+        rig.worker.ignores_stops.set(true);
         sleep(Duration::from_millis(20)).await;
         // The leader's append, decided before the return (planner/evict.rs, `remove_worker`).
         registered.iter().for_each(|key| store.remove(key));
@@ -326,8 +326,8 @@
                     delayed: Rc::clone(&count),
                 })
             }),
-            succession: |_, _| None,
-            began: |_| None,
+            compare_incarnations: |_, _| None,
+            incarnation_start: |_| None,
             wall_clock: || 1_000_000,
             settings: settings().agent(),
         });
--- a/crates/rampbay-jobs/tests/support/fleet.rs
+++ b/crates/rampbay-jobs/tests/support/fleet.rs
@@ -184,7 +184,7 @@
             table: &self.table,
             routing: &self.routing,
             drained: &DrainedDomains::default(),
-            operators_age: Some(Duration::ZERO),
+            drain_orders_age: Some(Duration::ZERO),
             progress: &self.progress,
             now: self.started.elapsed(),
             wall: 1_000_000 + self.ticks * TICK.as_millis() as u64,
--- a/crates/rampbay-jobs/tests/support/mod.rs
+++ b/crates/rampbay-jobs/tests/support/mod.rs
@@ -1,12 +1,12 @@
 //! In-memory fakes of the store and of a worker, on virtual time.
 #![allow(dead_code, reason = "each test file uses some of the fakes")]
 
+pub mod acknowledged;
 pub mod entry;
 pub mod faulty_store;
 pub mod fleet;
 pub mod intake;
 pub mod leader;
-pub mod noted;
 pub mod planner;
 pub mod property;
 pub mod site;
@@ -38,7 +38,7 @@
         .start_paused(true)
         .build()
         .expect("a runtime");
-    rampbay_jobs::clock::use_source(time_with_suspension);
+    rampbay_jobs::clock::set_clock_source(time_with_suspension);
     SUSPENDED.set(Duration::ZERO);
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
@@ -186,8 +186,8 @@
             connect: Box::new(move |_, instance| -> Rc<dyn Worker> {
                 Rc::new(worker::Client::new(Rc::clone(&connected), instance))
             }),
-            succession: worker::succession,
-            began: worker::began,
+            compare_incarnations: worker::compare_incarnations,
+            incarnation_start: worker::start_time,
             wall_clock: virtual_wall_clock,
             settings: settings().agent(),
         });
--- a/crates/rampbay-jobs/tests/suspended.rs
+++ b/crates/rampbay-jobs/tests/suspended.rs
@@ -74,14 +74,14 @@
 fn nothing_started_by_a_view_from_before() {
     on_virtual_time(async {
         let (rig, way) = running_rig().await;
-        rig.worker.see_fence(9);
+        rig.worker.observe_fencing_token(9);
         rig.store.put(&Record::Submitted(Box::new(job(OTHER, 1, step(1, 1)))));
         rig.store.put(&Record::Plan(OTHER.to_owned(), Box::new(running_plan(1, WORKER, 1))));
         sleep(SETTLES).await;
         way.cut.set(true);
         sleep(SETTLES).await;
         suspend(SUSPENDED);
-        rig.worker.see_fence(1);
+        rig.worker.observe_fencing_token(1);
         sleep(SETTLES).await;
         let starts = rig.worker.starts();
         assert!(starts.iter().all(|(started, _)| started.job != OTHER), "{starts:?}");
@@ -114,11 +114,11 @@
         rig.submit(job(JOB, 1, step(1, 1)));
         rig.plan();
         let worker = rig.instance_of(&task(JOB, 0));
-        rig.pass_without(Duration::from_secs(8), &worker).await;
+        rig.advance_with_silent(Duration::from_secs(8), &worker).await;
         rig.plan();
         assert!(rig.table.evicted.contains(&worker));
         suspend(SUSPENDED);
-        rig.pass_without(Duration::from_secs(2), &worker).await;
+        rig.advance_with_silent(Duration::from_secs(2), &worker).await;
         rig.plan();
         assert_eq!(rig.status_of(&task(JOB, 0)), TaskStatus::Running);
         assert_eq!(rig.instance_of(&task(JOB, 0)), worker);
--- a/crates/rampbay-peer/src/tree.rs
+++ b/crates/rampbay-peer/src/tree.rs
@@ -11,7 +11,7 @@
 
 use std::collections::BTreeMap;
 
-use rampbay_jobs::candidacy::VIGIL_SIZE;
+use rampbay_jobs::candidacy::LEADER_POLLER_COUNT;
 use rampbay_jobs::record::Member;
 use rampbay_jobs::table::JobTable;
 
@@ -66,14 +66,14 @@
 
 /// Iterates over the entries that watch over who leads, beside the leader and the one before it, in as many failure
 /// domains as there are: ample ones, or all where none is.
-pub fn watch(table: &JobTable) -> impl Iterator<Item = &Member> {
+pub fn leader_pollers(table: &JobTable) -> impl Iterator<Item = &Member> {
     let is_other =
         |member: &&Member| member.node != table.leader.node && member.node != table.former_leader;
     let mut watch: Vec<&Member> = ample(table).filter(is_other).collect();
     if watch.is_empty() {
         watch = entries(table).filter(is_other).collect();
     }
-    by_domain_in_turn(watch).into_iter().take(VIGIL_SIZE)
+    by_domain_in_turn(watch).into_iter().take(LEADER_POLLER_COUNT)
 }
 
 /// Iterates over the entries. Only their views are whole, and only they stand for leadership: an agent
