--- a/crates/rampbay-jobs/src/drained.rs
+++ b/crates/rampbay-jobs/src/drained.rs
@@ -1,8 +1,8 @@
-//! Failure domains that operators have drained: nothing more is started there until that is taken back.
+//! Failure domains that operators have drained: nothing more is started there until the drain is revoked.
 //!
 //! Operators write to a topic of their own, which only entries follow. The leader copies what it reads
-//! there into the state, where every agent sees it; an agent holds every start against its own copy. So
-//! an assignment that an older leader made, or that was long on its way, isn't carried out either.
+//! there into the state, where every agent sees it; an agent checks every start against its own copy. So
+//! an assignment that an older leader made, or that arrives late, isn't carried out either.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -15,10 +15,10 @@
 /// The drained failure domains, as of one position of the operators' topic.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainedDomains {
-    /// Their names.
+    /// Names of the drained failure domains.
     pub names: BTreeSet<FailureDomain>,
-    /// Offset up to which the operators' topic had been read. Offsets never fall, also when records are
-    /// dropped, so of two views the one read further is the newer one.
+    /// Offset up to which the operators' topic had been read. Offsets never decrease, also when records
+    /// are dropped, so of two views the one with the higher offset is the newer one.
     pub read_to: Offset,
 }
 
@@ -29,36 +29,36 @@
         self.names.contains(failure_domain)
     }
 
-    /// Returns whether this view was read further than another and says something else.
+    /// Returns whether this view was read further than another and differs from it.
     #[must_use]
     pub fn supersedes(&self, other: &Self) -> bool {
         self.read_to > other.read_to && self.names != other.names
     }
 }
 
-/// What a process reads of the drained failure domains in the operators' topic.
+/// The drain orders in force, as a process has read them from the operators' topic.
 #[derive(Debug, Default)]
 pub struct DrainOrders {
     names: RefCell<BTreeSet<FailureDomain>>,
 }
 
 impl DrainOrders {
-    /// Forgets all orders: those that stand follow, out of the newest record of each key.
+    /// Forgets all orders. Those in force are read again from the newest record of each key.
     pub fn reset(&self) {
         self.names.borrow_mut().clear();
     }
 
-    /// Takes in that a failure domain is to be drained.
+    /// Adds an order to drain a failure domain.
     pub fn drain(&self, failure_domain: &str) {
         if self.names.borrow_mut().insert(failure_domain.to_owned()) {
-            log::info!("event=J112 drain of a failure domain read failure_domain={failure_domain}");
+            log::info!("event=J112 drain order read failure_domain={failure_domain}");
         }
     }
 
-    /// Takes in that a failure domain may be used again.
+    /// Revokes the order to drain a failure domain, which may then be used again.
     pub fn restore(&self, failure_domain: &str) {
         if self.names.borrow_mut().remove(failure_domain) {
-            log::info!("event=J113 end of a drain read failure_domain={failure_domain}");
+            log::info!("event=J113 end of drain read failure_domain={failure_domain}");
         }
     }
 
--- a/crates/rampbay-jobs/src/parts.rs
+++ b/crates/rampbay-jobs/src/parts.rs
@@ -1,9 +1,10 @@
-//! Accounts of wide steps, kept in parts.
+//! Plans of wide steps, stored in parts.
 //!
-//! Written whole at each end of one of its tasks, a job's account costs the square of its width, in the store and at
-//! every entry, and an agent that runs one task is sent the accounts of all. So a step of more than [`TASKS_PER_PART`]
-//! tasks stands in records of so many tasks each, beside the job's own record, and only those that changed are written.
-//! In the job's own record such a step is empty. Tasks of a part that was never written haven't begun.
+//! If the whole plan of a job were written at each end of one of its tasks, the cost would grow with the square of the
+//! step's width, in the store and at every entry, and an agent that runs one task would be sent the plans of all. So a
+//! step of more than [`TASKS_PER_PART`] tasks is stored in records of that many tasks each, apart from the job's own
+//! record, and only the records that changed are written. In the job's own record (the head of the plan) such a step is
+//! empty. Tasks of a part that was never written haven't started.
 
 use crate::plan::{JobPlan, Occurrence, TaskPlan};
 use serde::Deserialize;
@@ -12,77 +13,79 @@
 use crate::keys::part_key;
 use crate::record::{KeyedRecord, Record, removal};
 
-/// Most tasks of one part, and of a step that isn't divided. The end of one task writes 0.3 kB, where the account of a
-/// job of 360 tasks takes 12 kB, both without checkpoints. The fewer tasks a part has, the less an end writes, and the more
-/// records gangs do, whose tasks change all at once: with eight, their accounts take a fifth more bytes than whole.
+/// Maximum number of tasks in one part, and in a step that isn't divided. The end of one task writes 0.3 kB, where the
+/// whole plan of a job of 360 tasks takes 12 kB, both without checkpoints. With fewer tasks in a part, an end writes less,
+/// but a gang writes more records, since its tasks change all at once: with eight, the plans of gangs take a fifth more
+/// bytes than whole ones.
 pub const TASKS_PER_PART: usize = 8;
 
-/// How the store holds a job's account.
+/// How a job's plan is laid out in the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlanLayout {
-    /// Wide steps in parts of their own.
+    /// Wide steps are stored in parts.
     #[default]
     InParts,
-    /// All in the job's own record: what releases read and write that know no parts.
+    /// The whole plan is stored in the job's own record, as releases without parts read and write it.
     Whole,
 }
 
-/// Returns the records that turn a job's account, as the store holds it, into a new one. Parts go before the job's own
-/// record, whose audience is found by the tasks of both, and removals of parts last: a reader between two of them sees
-/// no task begin again.
+/// Returns the records that turn a job's plan, as it is stored, into a new one. Parts come before the job's own record,
+/// whose recipients are derived from the tasks of both, and removals of parts come last: a reader that has applied only
+/// some of the records sees no task start again.
 #[must_use]
 pub fn changes(
     id: &JobId,
-    kept: Option<&JobPlan>,
-    form: PlanLayout,
+    stored: Option<&JobPlan>,
+    layout: PlanLayout,
     new: &JobPlan,
 ) -> Vec<KeyedRecord> {
     let is_written = |first: &TaskId, tasks: &[TaskPlan]| {
-        form == PlanLayout::InParts && is_kept(kept, first, tasks)
+        layout == PlanLayout::InParts && is_stored(stored, first, tasks)
     };
     let changed = parts(id, new).filter(|(first, tasks)| !is_written(first, tasks));
     let mut records: Vec<KeyedRecord> =
         changed.map(|(first, tasks)| Record::Part(first, tasks.to_vec()).encode()).collect();
     let head = head(new);
-    if form == PlanLayout::Whole || kept.map(self::head).as_ref() != Some(&head) {
+    if layout == PlanLayout::Whole || stored.map(self::head).as_ref() != Some(&head) {
         records.push(Record::Plan(id.clone(), Box::new(head)).encode());
     }
     let is_open = |number: u32| new.open.iter().any(|open| open.number == number);
-    let closed = kept.into_iter().flat_map(|kept| part_keys(id, kept));
+    let closed = stored.into_iter().flat_map(|stored| part_keys(id, stored));
     let closed = closed.filter(|(occurrence, _)| !is_open(*occurrence));
     records.extend(closed.map(|(_, key)| removal(key)));
     records
 }
 
-/// Returns the records that turn a job's account, as the store holds it, into a new one that is whole.
+/// Returns the records that turn a job's plan, as it is stored, into a new one that is stored whole.
 #[must_use]
 pub fn changes_to_whole(
     id: &JobId,
-    kept: Option<&JobPlan>,
-    form: PlanLayout,
+    stored: Option<&JobPlan>,
+    layout: PlanLayout,
     new: &JobPlan,
 ) -> Vec<KeyedRecord> {
     let whole = Record::Plan(id.clone(), Box::new(new.clone())).encode();
-    let kept = kept.filter(|_| form == PlanLayout::InParts);
-    let parts = kept.into_iter().flat_map(|kept| part_keys(id, kept));
+    let stored = stored.filter(|_| layout == PlanLayout::InParts);
+    let parts = stored.into_iter().flat_map(|stored| part_keys(id, stored));
     std::iter::once(whole).chain(parts.map(|(_, key)| removal(key))).collect()
 }
 
-/// Lists the keys of an account's parts, each with its occurrence.
+/// Lists the keys of a plan's parts, each with its occurrence.
 pub fn part_keys<'a>(id: &'a JobId, plan: &'a JobPlan) -> impl Iterator<Item = (u32, String)> + 'a {
     parts(id, plan).map(|(first, _)| (first.occurrence, part_key(&first)))
 }
 
-/// Takes in a job's own record: wide steps keep the tasks that are known of them.
+/// Merges the head of a plan, from the job's own record, into the plan as far as it is known: wide steps, which are empty
+/// in the head, keep the tasks that are known of them. Returns the plan, and the layout in which it is stored.
 #[must_use]
-pub fn take_in_head(
+pub fn merge_head(
     submission: &Submission,
     known: Option<JobPlan>,
     mut head: JobPlan,
 ) -> (JobPlan, PlanLayout) {
     let mut known = known.unwrap_or_default();
-    let mut form = PlanLayout::InParts;
+    let mut layout = PlanLayout::InParts;
     for occurrence in &mut head.open {
         let before = known.open.iter_mut().find(|open| open.number == occurrence.number);
         let before = before.map(|open| std::mem::take(&mut open.steps)).unwrap_or_default();
@@ -92,16 +95,16 @@
             if tasks.is_empty() {
                 *tasks = before.unwrap_or_else(|| vec![TaskPlan::default(); step.count as usize]);
             } else if is_wide(tasks) {
-                form = PlanLayout::Whole;
+                layout = PlanLayout::Whole;
             }
         }
     }
-    (head, form)
+    (head, layout)
 }
 
-/// Takes in the tasks of a step from `first` on. An agent may get them without the job's own record, which opens the
-/// occurrence.
-pub fn take_in_part(
+/// Merges the tasks of a step, from `first` on, into a plan. An agent may receive them without the job's own record,
+/// which opens the occurrence.
+pub fn merge_part(
     submission: &Submission,
     plan: &mut JobPlan,
     first: &TaskId,
@@ -130,7 +133,7 @@
     tasks.len() > TASKS_PER_PART
 }
 
-/// Returns a job's own record: wide steps are empty.
+/// Returns the part of a plan that is stored in the job's own record: wide steps are empty.
 fn head(plan: &JobPlan) -> JobPlan {
     let narrow = |tasks: &Vec<TaskPlan>| if is_wide(tasks) { Vec::new() } else { tasks.clone() };
     let open = plan.open.iter().map(|open| Occurrence {
@@ -140,7 +143,7 @@
     JobPlan { status: plan.status, open: open.collect(), next_occurrence: plan.next_occurrence }
 }
 
-/// Lists the parts of an account, each with its first task.
+/// Lists the parts of a plan, each with its first task.
 fn parts<'a>(
     id: &'a JobId,
     plan: &'a JobPlan,
@@ -161,8 +164,8 @@
     })
 }
 
-fn is_kept(kept: Option<&JobPlan>, first: &TaskId, tasks: &[TaskPlan]) -> bool {
-    let before = kept.map(|kept| tasks_from(kept, first)).unwrap_or_default();
+fn is_stored(stored: Option<&JobPlan>, first: &TaskId, tasks: &[TaskPlan]) -> bool {
+    let before = stored.map(|stored| tasks_from(stored, first)).unwrap_or_default();
     if before.is_empty() {
         return tasks.iter().all(|task| *task == TaskPlan::default());
     }
--- a/crates/rampbay-jobs/src/table.rs
+++ b/crates/rampbay-jobs/src/table.rs
@@ -8,7 +8,7 @@
 use crate::job::{InstanceId, JobId, NodeName, Submission, TaskId};
 use crate::keys::{eviction_key, split_refusal_key, split_worker_key};
 use crate::losses::{JobLosses, LifeOver};
-use crate::parts::{PlanLayout, take_in_head, take_in_part};
+use crate::parts::{PlanLayout, merge_head, merge_part};
 use crate::plan::{JobPlan, JobStatus, TaskPlan, TaskStatus};
 use crate::record::{EndReason, KeyedRecord, Leader, Member, Record, RunEnd, WorkerRecord};
 use crate::registrations::{RegistrationNumber, Registrations};
@@ -18,16 +18,16 @@
 pub struct Job {
     /// What was submitted.
     pub submission: Rc<Submission>,
-    /// The planner's account, once there is one.
+    /// The plan, once the planner has made one.
     pub plan: Option<Rc<JobPlan>>,
-    /// How the store holds that account.
+    /// How that plan is laid out in the store.
     pub plan_layout: PlanLayout,
     /// Whether its caller has cancelled it.
     pub cancelled: bool,
 }
 
 impl Job {
-    /// Returns what callers see of it.
+    /// Returns the status of the job, as callers see it.
     #[must_use]
     pub fn status(&self) -> JobStatus {
         let planned = self.plan.as_ref().map_or(JobStatus::Queued, |plan| plan.status);
@@ -37,7 +37,7 @@
         planned
     }
 
-    /// Returns whether a planner still has something to do for it.
+    /// Returns whether a planner still has something to do for the job.
     #[must_use]
     pub fn is_active(&self) -> bool {
         let Some(plan) = &self.plan else { return true };
@@ -45,58 +45,60 @@
     }
 }
 
-/// Numbers of states of the processes that were given out: no two states have the same, also of tables that were
+/// Counts the membership versions of all tables of this process: no two versions are equal, also after a table was
 /// loaded anew.
-static PROCESS_STATES: AtomicU64 = AtomicU64::new(0);
+static MEMBERSHIP_VERSIONS: AtomicU64 = AtomicU64::new(0);
 
-/// Workers that are gone and whose agents are remembered, beside twice as many as are there.
-const MOST_GONE_AGENTS: usize = 256;
+/// Agents of gone workers are forgotten once the number of remembered agents reaches this, plus twice the number of
+/// registered workers.
+const MAX_GONE_AGENTS: usize = 256;
 
-/// Everything that the store's records say, and what came before something else among them.
+/// The state that the store's records describe, and the facts that depend on the order of the records.
 #[derive(Clone, Debug, Default)]
 pub struct JobTable {
     /// All known jobs.
     pub jobs: BTreeMap<JobId, Job>,
     /// Jobs with something left to do.
     pub active: BTreeSet<JobId>,
-    /// Workers that are there, by the registration of each that counts.
+    /// Registered workers, each as its registration with the highest number describes it.
     pub workers: BTreeMap<InstanceId, Rc<WorkerRecord>>,
     /// Workers whose runs are given up.
     pub evicted: BTreeSet<InstanceId>,
     /// The registrations under which they were evicted.
     evictions: BTreeMap<InstanceId, BTreeSet<RegistrationNumber>>,
-    /// Ends that no account holds yet, by their keys.
+    /// Ends of runs that no plan includes yet, by their keys.
     pub ends: BTreeMap<String, Rc<RunEnd>>,
-    /// The planner in charge.
+    /// The process that leads.
     pub leader: Leader,
-    /// The process that was in charge before; it may be gone.
+    /// The process that led before; it may be gone.
     pub former_leader: NodeName,
     /// Failure domains in which nothing is started.
     pub drained: DrainedDomains,
     /// The processes, by their names.
     pub members: BTreeMap<NodeName, Member>,
-    /// How workers' lives ended, for a while after.
+    /// How incarnations of workers ended; kept for some time after their ends.
     pub ended_incarnations: BTreeMap<InstanceId, Rc<LifeOver>>,
-    /// The runs that went with their workers, of the jobs that have any.
+    /// Runs that were lost with their workers, by job.
     pub losses: BTreeMap<JobId, Rc<JobLosses>>,
-    /// All registrations, those that a newer one has followed among them.
+    /// All registrations, including those that newer ones have replaced.
     registrations: Registrations,
-    /// Agents of all workers that were there since the state was read as a whole, also of those that are gone.
+    /// Agents of all workers that have been registered since the state was last read in full, also of workers that are
+    /// gone.
     agents: BTreeMap<InstanceId, NodeName>,
-    /// Runs that were assigned to a worker before it came back, registered anew.
+    /// Runs that were assigned to a worker before it returned: before it registered again, having had no registration.
     assigned_before_return: BTreeMap<InstanceId, BTreeSet<(TaskId, u32)>>,
-    /// Cancellations of jobs that aren't known.
+    /// Cancelled jobs whose submissions aren't known.
     early_cancels: BTreeSet<JobId>,
-    /// Workers with runs by accounts that were passed over, since their jobs aren't known.
-    lacking_jobs: BTreeSet<InstanceId>,
-    /// Number of the present state of the processes.
+    /// Workers that have runs by plans that were skipped, because the jobs of the plans aren't known.
+    workers_with_skipped_plans: BTreeSet<InstanceId>,
+    /// Version of the members and the leader.
     membership_version: u64,
 }
 
 impl JobTable {
-    /// Takes in the newest record of each key in place of all that was known, whatever their order: jobs go
-    /// before their accounts, which would be passed over without them, and so do workers, which haven't returned,
-    /// after the ends of their registrations.
+    /// Replaces the whole state by the newest record of each key, given in any order. Jobs are applied before their
+    /// plans, which would be skipped without them. Workers are applied before plans, too, so that they don't count as
+    /// returned, and after the ends of their registrations.
     pub fn load(&mut self, records: &[KeyedRecord]) {
         *self = Self::default();
         let is_of = |kind: &'static str| move |record: &&KeyedRecord| record.key.starts_with(kind);
@@ -104,12 +106,12 @@
         for kind in FIRST {
             records.iter().filter(is_of(kind)).for_each(|record| self.apply(record));
         }
-        let goes_last = |record: &&KeyedRecord| !FIRST.iter().any(|kind| is_of(kind)(record));
-        records.iter().filter(goes_last).for_each(|record| self.apply(record));
+        let is_last = |record: &&KeyedRecord| !FIRST.iter().any(|kind| is_of(kind)(record));
+        records.iter().filter(is_last).for_each(|record| self.apply(record));
     }
 
-    /// Takes in one record. Records that can't be read are passed over: a newer release may
-    /// have written them.
+    /// Applies one record. Records that can't be decoded are skipped: a newer release may have written
+    /// them.
     pub fn apply(&mut self, record: &KeyedRecord) {
         if record.value.is_empty() {
             self.remove(&record.key);
@@ -136,7 +138,7 @@
             }
             Record::Over(instance, number) => {
                 self.registrations.end(&instance, number);
-                self.show_newest(&instance);
+                self.update_worker(&instance);
             }
             Record::LifeOver(instance, over) => {
                 self.ended_incarnations.insert(instance, Rc::new(*over));
@@ -155,12 +157,12 @@
                         self.former_leader.clone_from(&self.leader.node);
                     }
                     self.leader = leader;
-                    self.note_process_change();
+                    self.bump_membership_version();
                 }
             }
             Record::Member(member) => {
                 self.members.insert(member.node.clone(), member);
-                self.note_process_change();
+                self.bump_membership_version();
             }
             Record::Drained(drained) => {
                 if drained.read_to >= self.drained.read_to {
@@ -170,12 +172,12 @@
         }
     }
 
-    fn note_process_change(&mut self) {
-        self.membership_version = PROCESS_STATES.fetch_add(1, Ordering::Relaxed) + 1;
+    fn bump_membership_version(&mut self) {
+        self.membership_version = MEMBERSHIP_VERSIONS.fetch_add(1, Ordering::Relaxed) + 1;
     }
 
-    /// Returns a number that stands for the processes that are known and who leads: another one after each change.
-    /// What is worked out from them needs to be worked out again only then.
+    /// Returns the version of the members and the leader, which differs after each change of them. What is derived from
+    /// them needs to be derived again only then.
     #[must_use]
     pub const fn membership_version(&self) -> u64 {
         self.membership_version
@@ -190,13 +192,13 @@
         }
         self.agents.insert(instance.to_owned(), worker.node.clone());
         self.registrations.insert(instance, number, worker);
-        self.show_newest(instance);
+        self.update_worker(instance);
     }
 
     fn remove_worker(&mut self, key: &str) {
         let (instance, number) = split_worker_key(key);
         self.registrations.remove(instance, number);
-        self.show_newest(instance);
+        self.update_worker(instance);
     }
 
     fn remove_eviction(&mut self, key: &str) {
@@ -209,14 +211,14 @@
         }
     }
 
-    /// Lists the keys of a worker's evictions. A call that removes them may land late, when the worker has come back
-    /// and is evicted again, under another registration: that eviction stands.
+    /// Lists the keys of a worker's evictions. A call that removes them may be carried out late, when the worker has
+    /// returned and is evicted again, under another registration: that eviction stays in force.
     pub fn eviction_keys<'a>(&'a self, instance: &'a str) -> impl Iterator<Item = String> + 'a {
         let numbers = self.evictions.get(instance).into_iter().flatten();
         numbers.map(move |number| eviction_key(instance, *number))
     }
 
-    fn show_newest(&mut self, instance: &str) {
+    fn update_worker(&mut self, instance: &str) {
         if let Some((_, record)) = self.registrations.newest(instance) {
             self.workers.insert(instance.to_owned(), Rc::clone(record));
         } else {
@@ -226,9 +228,9 @@
         }
     }
 
-    /// Forgets the agents of workers that are gone and that no account names, once there are many.
+    /// Forgets the agents of workers that are gone and that no plan names, once there are many.
     fn forget_agents(&mut self) {
-        if self.agents.len() < MOST_GONE_AGENTS + 2 * self.workers.len() {
+        if self.agents.len() < MAX_GONE_AGENTS + 2 * self.workers.len() {
             return;
         }
         let named: BTreeSet<&InstanceId> = self.active_plans().flat_map(JobPlan::workers).collect();
@@ -241,14 +243,14 @@
         self.active.iter().filter_map(|id| self.jobs.get(id)?.plan.as_deref())
     }
 
-    /// Lists the runs that may exist at a worker, by the accounts.
+    /// Lists the runs that may exist at a worker, by the plans of active jobs.
     #[must_use]
     pub fn runs_assigned_to(&self, instance: &str) -> BTreeSet<(TaskId, u32)> {
-        let is_there = |task: &TaskPlan| task.may_be_running() && task.instance == instance;
+        let is_assigned = |task: &TaskPlan| task.may_be_running() && task.instance == instance;
         let mut runs = BTreeSet::new();
         for id in &self.active {
             let Some(plan) = self.jobs.get(id).and_then(|job| job.plan.as_ref()) else { continue };
-            for task in plan.tasks_where(id, is_there) {
+            for task in plan.tasks_where(id, is_assigned) {
                 let attempt = plan.task(&task).map_or(0, |found| found.attempt);
                 runs.insert((task, attempt));
             }
@@ -256,7 +258,7 @@
         runs
     }
 
-    /// Returns whether an account says that a run may exist at a worker.
+    /// Returns whether a run may exist at a worker, by the plans of active jobs.
     #[must_use]
     pub fn has_runs_assigned_to(&self, instance: &str) -> bool {
         self.active_plans().flat_map(JobPlan::workers).any(|named| named == instance)
@@ -268,15 +270,15 @@
         &self.registrations
     }
 
-    /// Returns the agent of a worker that is there or was; `None` if it was gone before the state was read as a
-    /// whole.
+    /// Returns the agent of a worker that is registered or was; `None` if it was gone before the state was last read
+    /// in full.
     #[must_use]
     pub fn agent_of(&self, instance: &str) -> Option<&NodeName> {
         self.agents.get(instance)
     }
 
-    /// Returns whether a run was assigned to a worker before that came back, after its registration was gone.
-    /// While it was gone the planner may have taken the run to be over, by a decision that is still on its way.
+    /// Returns whether a run was assigned to a worker before the worker returned, after its registration was gone.
+    /// While it was gone, the planner may have given the run up, by a decision that hasn't been read yet.
     #[must_use]
     pub fn was_assigned_before_return(&self, instance: &str, run: &(TaskId, u32)) -> bool {
         self.assigned_before_return.get(instance).is_some_and(|runs| runs.contains(run))
@@ -310,46 +312,47 @@
     fn insert_plan(&mut self, id: &JobId, plan: JobPlan) {
         let Some(job) = self.jobs.get_mut(id) else {
             return self
-                .pass_over(id, plan.open.iter().flat_map(|open| open.steps.iter().flatten()));
+                .skip_plan(id, plan.open.iter().flat_map(|open| open.steps.iter().flatten()));
         };
         let known = job.plan.take().map(Rc::unwrap_or_clone);
-        let (plan, form) = take_in_head(&job.submission, known, plan);
+        let (plan, form) = merge_head(&job.submission, known, plan);
         job.plan = Some(Rc::new(plan));
         job.plan_layout = form;
-        self.note_account_change(id);
+        self.update_active(id);
     }
 
     fn insert_part(&mut self, first: &TaskId, tasks: Vec<TaskPlan>) {
         let Some(job) = self.jobs.get_mut(&first.job) else {
-            return self.pass_over(&first.job, tasks.iter());
+            return self.skip_plan(&first.job, tasks.iter());
         };
         let plan = Rc::make_mut(job.plan.get_or_insert_default());
-        take_in_part(&job.submission, plan, first, tasks);
-        self.note_account_change(&first.job);
+        merge_part(&job.submission, plan, first, tasks);
+        self.update_active(&first.job);
     }
 
-    /// Passes over an account whose job isn't known, and takes note of the workers that have runs by it.
-    fn pass_over<'a>(&mut self, job: &JobId, tasks: impl Iterator<Item = &'a TaskPlan>) {
+    /// Skips a plan, or a part of one, whose job isn't known, and records which registered workers have runs by it.
+    fn skip_plan<'a>(&mut self, job: &JobId, tasks: impl Iterator<Item = &'a TaskPlan>) {
         let named = tasks.filter(|task| task.may_be_running()).map(|task| &task.instance);
-        let there = named.filter(|instance| self.workers.contains_key(*instance));
-        let there: BTreeSet<InstanceId> = there.cloned().collect();
-        if !there.is_empty() {
+        let registered = named.filter(|instance| self.workers.contains_key(*instance));
+        let registered: BTreeSet<InstanceId> = registered.cloned().collect();
+        if !registered.is_empty() {
             log::warn!(
-                "event=J183 account passed over, its job isn't known job={job} workers={there:?}"
+                "event=J183 plan skipped, its job isn't known job={job} workers={registered:?}"
             );
-            self.lacking_jobs.extend(there);
+            self.workers_with_skipped_plans.extend(registered);
         }
     }
 
-    /// Returns whether an account was passed over, since the state was read as a whole, that an agent needs: its job isn't
-    /// known.
+    /// Returns whether a plan that an agent needs was skipped since the state was last read in full, because the plan's
+    /// job isn't known.
     #[must_use]
     pub fn lacks_job_for(&self, agent: &str) -> bool {
-        let mut agents = self.lacking_jobs.iter().filter_map(|instance| self.agent_of(instance));
+        let mut agents =
+            self.workers_with_skipped_plans.iter().filter_map(|instance| self.agent_of(instance));
         agents.any(|known| known == agent)
     }
 
-    fn note_account_change(&mut self, id: &JobId) {
+    fn update_active(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.is_active() {
             self.active.insert(id.clone());
@@ -382,14 +385,14 @@
             "evicted" => self.remove_eviction(key),
             "member" => {
                 self.members.remove(name);
-                self.note_process_change();
+                self.bump_membership_version();
             }
             _ => {}
         }
     }
 
-    /// Returns what callers see of a job, if it is known. A job whose last tasks have ended well has
-    /// succeeded as soon as the store holds these ends; the planner's account follows.
+    /// Returns the status of a job as callers see it, if the job is known. A job has succeeded as soon as
+    /// the store holds the ends of its last tasks, before the planner updates the plan.
     #[must_use]
     pub fn status(&self, id: &str) -> Option<JobStatus> {
         let job = self.jobs.get(id)?;
@@ -398,13 +401,13 @@
         Some(if has_ended { JobStatus::Succeeded } else { status })
     }
 
-    /// Returns whether every task of a job is done, by the account or by an end that it doesn't hold
+    /// Returns whether every task of a job is done, by the plan or by an end that the plan doesn't include
     /// yet.
     fn all_done(&self, job: &Job) -> bool {
         let submission = &job.submission;
         let Some(plan) = &job.plan else { return false };
-        let lasts = submission.steps.iter().any(|step| step.long_running);
-        if lasts || plan.next_occurrence < submission.occurrence_count() {
+        let is_long_running = submission.steps.iter().any(|step| step.long_running);
+        if is_long_running || plan.next_occurrence < submission.occurrence_count() {
             return false;
         }
         plan.open.iter().all(|occurrence| {
@@ -418,7 +421,7 @@
                         step: number as u32,
                         index: index as u32,
                     };
-                    task.status == TaskStatus::Done || self.has_ended_well(&id, task)
+                    task.status == TaskStatus::Done || self.has_succeeded(&id, task)
                 };
                 // A gang ends jointly: one member done counts for all.
                 if step.gang { tasks.any(is_done) } else { tasks.all(is_done) }
@@ -426,13 +429,13 @@
         })
     }
 
-    /// Returns whether the end of a run is known that no account holds yet.
+    /// Returns whether an end of a run is known that no plan includes yet.
     #[must_use]
     pub fn has_end(&self, task: &TaskId, attempt: u32) -> bool {
         self.ends.contains_key(&format!("end/{task}/{attempt}"))
     }
 
-    /// Returns whether a refusal of a run is known that no account holds yet.
+    /// Returns whether a refusal of a run is known that no plan includes yet.
     #[must_use]
     pub fn has_refusal(&self, task: &TaskId, attempt: u32) -> bool {
         let key = format!("refusal/{task}/{attempt}");
@@ -440,12 +443,12 @@
         from_key.next().is_some_and(|(found, _)| split_refusal_key(found).0 == key)
     }
 
-    fn has_ended_well(&self, id: &TaskId, task: &TaskPlan) -> bool {
+    fn has_succeeded(&self, id: &TaskId, task: &TaskPlan) -> bool {
         let end = self.ends.get(&format!("end/{id}/{}", task.attempt));
         task.may_be_running() && end.is_some_and(|end| end.reason == EndReason::Done)
     }
 
-    /// Counts the accepted jobs of a queue that aren't timed and none of whose tasks has begun.
+    /// Counts the accepted jobs of a queue none of whose tasks has started.
     #[must_use]
     pub fn pending(&self, queue: &str) -> usize {
         let waiting = self.active.iter().filter_map(|id| self.jobs.get(id));
@@ -454,14 +457,14 @@
             .count()
     }
 
-    /// Returns whether nothing may be started at a worker: operators have drained its failure domain.
+    /// Returns whether nothing may be started at a worker because operators have drained its failure domain.
     #[must_use]
     pub fn is_in_drained_domain(&self, worker: &WorkerRecord) -> bool {
         self.drained.contains(&worker.failure_domain)
     }
 
-    /// Returns whether a run is to go on: assigned to this worker, which is registered, and not cancelled. What
-    /// runs at a worker whose registration is gone will be started elsewhere.
+    /// Returns whether a run should start or go on at a worker: it is assigned to the worker, the worker is registered,
+    /// and the job isn't cancelled. What runs at a worker whose registration is gone will be started elsewhere.
     #[must_use]
     pub fn should_run(&self, instance: &str, task: &TaskId, attempt: u32) -> bool {
         if !self.workers.contains_key(instance) {
