--- a/crates/rampbay-jobs/src/freshness.rs
+++ b/crates/rampbay-jobs/src/freshness.rs
@@ -1,4 +1,4 @@
-//! How old a view of the store is, and the latest records of it.
+//! The age of a view of the store, and the latest records of the view.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -13,21 +13,21 @@
 use crate::record::KeyedRecord;
 use crate::store::{Batch, Offset, ReadError, Snapshot};
 
-/// How current the view is.
+/// Tracks how current a view is, and keeps the records to be passed on.
 #[derive(Debug)]
 pub struct Freshness {
-    proven_at: Cell<Option<Moment>>,
+    current_as_of: Cell<Option<Moment>>,
     position: Cell<Offset>,
     changed: watch::Sender<u64>,
     recent: RefCell<Recent>,
-    /// When somebody surely led last, as far as this process has heard.
+    /// The latest time at which a process is known to have led.
     led_at: Cell<Option<Moment>>,
 }
 
 impl Default for Freshness {
     fn default() -> Self {
         Self {
-            proven_at: Cell::new(None),
+            current_as_of: Cell::new(None),
             position: Cell::new(0),
             changed: watch::channel(0).0,
             recent: RefCell::default(),
@@ -36,30 +36,32 @@
     }
 }
 
-/// Age from which on a view isn't read without pause any more: reads wait a second at most.
+/// Age at which a view is stale: it isn't being read without pause any more, since reads wait a second at most.
 const STALE_AFTER: Duration = Duration::from_millis(1500);
-/// Most bytes of records that are kept to be passed on, but for the latest one: a configuration may be a quarter of a
-/// megabyte, and an entry with little memory has 160 MB. Whoever reads more slowly than so much comes reads from the
-/// store. All processes and workers of 2,510 machines, which tell of themselves at once after a loss of power, take 2 MB.
-const MOST_RECENT_BYTES: usize = 4 << 20;
+/// Maximum bytes of records that are kept to be passed on; the latest record is kept in any case. A configuration may be
+/// a quarter of a megabyte, and an entry with little memory has 160 MB. A reader that falls behind by more than this reads
+/// from the store. The records of all processes and workers of 2,510 machines, which are all written at once after a loss
+/// of power, take 2 MB.
+const MAX_RECENT_BYTES: usize = 4 << 20;
 
-/// The latest records, and the newest of each key, to be passed on.
+/// The latest records, and the newest record of each key, to be passed on.
 #[derive(Debug, Default)]
 struct Recent {
     first: Offset,
     records: VecDeque<AddressedRecord>,
     bytes: usize,
-    kept: bool,
-    /// The newest record of each key, if all were kept since the topic was read as a whole.
+    /// Whether records are kept.
+    is_enabled: bool,
+    /// The newest record of each key, if all were kept since the topic was last read in full.
     newest: Option<BTreeMap<String, Rc<KeyedRecord>>>,
 }
 
 impl Recent {
-    fn push(&mut self, passed: AddressedRecord) {
-        self.note_newest(&passed.record);
-        self.bytes += passed.size();
-        self.records.push_back(passed);
-        while self.bytes > MOST_RECENT_BYTES && self.records.len() > 1 {
+    fn push(&mut self, addressed: AddressedRecord) {
+        self.note_newest(&addressed.record);
+        self.bytes += addressed.size();
+        self.records.push_back(addressed);
+        while self.bytes > MAX_RECENT_BYTES && self.records.len() > 1 {
             self.pop();
         }
     }
@@ -84,8 +86,8 @@
         self.records.clear();
         self.bytes = 0;
         self.first = first;
-        self.newest = self.kept.then(BTreeMap::new);
-        if self.kept {
+        self.newest = self.is_enabled.then(BTreeMap::new);
+        if self.is_enabled {
             let records = records.iter().copied().flatten();
             records.for_each(|record| self.note_newest(&Rc::new(record.clone())));
         }
@@ -93,45 +95,45 @@
 }
 
 impl Freshness {
-    /// Returns the age of the view: all that the store had acknowledged so long ago is in it.
+    /// Returns the age of the view: it holds all that the store had acknowledged that long ago.
     /// `None` before the first read of the whole topic.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
-        self.proven_at.get().map(|at| at.elapsed())
+        self.current_as_of.get().map(|at| at.elapsed())
     }
 
-    /// Returns whether the view is at most so old.
+    /// Returns whether the view is no older than a limit.
     #[must_use]
     pub fn is_within(&self, limit: Duration) -> bool {
         self.age().is_some_and(|age| age <= limit)
     }
 
-    /// Returns how long ago somebody surely led, as far as this process has heard; `None` before it has.
+    /// Returns how long ago a process is known to have led; `None` if that isn't known of any.
     #[must_use]
     pub fn led_age(&self) -> Option<Duration> {
         self.led_at.get().map(|at| at.elapsed())
     }
 
-    /// Takes note that somebody led at this time.
+    /// Records that a process led at this time.
     pub fn note_led(&self, at: Moment) {
         if self.led_at.get().is_none_or(|before| before < at) {
             self.led_at.set(Some(at));
         }
     }
 
-    /// Returns the offset up to which records are taken in.
+    /// Returns the offset up to which records have been applied.
     #[must_use]
     pub fn position(&self) -> Offset {
         self.position.get()
     }
 
-    /// Returns a receiver that is told of each change.
+    /// Returns a receiver that is notified of each change.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Tells all who subscribed to look again.
+    /// Notifies all subscribers.
     pub fn notify(&self) {
         self.changed.send_modify(|version| *version += 1);
     }
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Waits until records up to `offset` are taken in.
+    /// Waits until records up to `offset` have been applied.
     pub async fn reach(&self, offset: Offset) {
         let mut changes = self.subscribe();
         while self.position.get() < offset {
@@ -156,12 +158,12 @@
         }
     }
 
-    /// Begins to keep the latest records, so that they can be passed on. A process that nobody reads
-    /// through needn't: the first reader makes it begin, and is served from its next read on.
+    /// Starts to keep the latest records, so that they can be passed on. A process through which no other
+    /// reads needn't keep them: the first reader causes it to start, and is served from its next read on.
     pub fn keep_recent(&self) {
         let mut recent = self.recent.borrow_mut();
-        if !recent.kept {
-            recent.kept = true;
+        if !recent.is_enabled {
+            recent.is_enabled = true;
             recent.first = self.position.get();
         }
     }
@@ -169,7 +171,7 @@
     /// Returns whether the latest records are kept.
     #[must_use]
     pub fn keeps(&self) -> bool {
-        self.recent.borrow().kept
+        self.recent.borrow().is_enabled
     }
 
     /// Passes on records from an offset on: all, or those that an agent needs. Waits up to `wait`
@@ -188,8 +190,8 @@
         let mut changes = self.subscribe();
         loop {
             changes.borrow_and_update();
-            // Before the look: an empty answer speaks for the end of the wait, also where the process is
-            // stopped between the two.
+            // The time is checked before the records: an empty answer counts as current as of the end of the
+            // wait, also if the process is stopped between the two.
             let is_over = Instant::now() >= deadline;
             let batch = self.batch(from, agent)?;
             if let Some(batch) = batch.filter(|batch| is_over || !batch.records.is_empty()) {
@@ -202,12 +204,12 @@
         }
     }
 
-    /// Returns the kept records from an offset on; `None` before they are there.
+    /// Returns the kept records from an offset on; `None` if the view hasn't reached the offset.
     fn batch(&self, from: Offset, agent: Option<&str>) -> Result<Option<Batch>, ReadError> {
         let age = self.age().ok_or(ReadError::Unavailable)?;
         let recent = self.recent.borrow();
         let end = self.position.get();
-        if !recent.kept || from < recent.first {
+        if !recent.is_enabled || from < recent.first {
             drop(recent);
             self.keep_recent();
             return Err(ReadError::Unavailable);
@@ -217,8 +219,8 @@
         }
         let new = recent.records.iter().skip((from - recent.first) as usize);
         let records = match agent {
-            Some(agent) => new.flat_map(|passed| passed.records_for(agent)).collect(),
-            None => new.map(|passed| passed.record.as_ref().clone()).collect(),
+            Some(agent) => new.flat_map(|addressed| addressed.records_for(agent)).collect(),
+            None => new.map(|addressed| addressed.record.as_ref().clone()).collect(),
         };
         Ok(Some(Batch {
             end,
@@ -231,18 +233,18 @@
         }))
     }
 
-    /// Keeps the record that follows on the kept ones, to pass it on.
-    pub(crate) fn keep(&self, passed: AddressedRecord) {
-        self.recent.borrow_mut().push(passed);
+    /// Keeps the record that follows the kept ones, to be passed on.
+    pub(crate) fn keep(&self, addressed: AddressedRecord) {
+        self.recent.borrow_mut().push(addressed);
     }
 
-    /// Forgets the kept records; the next ones begin at `position`. The newest record of each key up to there is in
-    /// the lists, the later ones behind.
+    /// Forgets the kept records; the next one will be that at `position`. The lists of records hold the newest record of
+    /// each key up to there, in the order of the topic.
     pub(crate) fn restart(&self, position: Offset, records: &[&[KeyedRecord]]) {
         self.recent.borrow_mut().restart(position, records);
     }
 
-    /// Passes on the newest record of each key that is wanted.
+    /// Returns the newest record of each key, if it is wanted.
     ///
     /// # Errors
     ///
@@ -260,19 +262,19 @@
         Ok(Snapshot { records, read_from: end, end, age })
     }
 
-    /// Takes note that the view holds all that the store had acknowledged at this time. Whoever
-    /// waits for a view that is current is told.
+    /// Records that the view holds all that the store had acknowledged at this time. Subscribers are
+    /// notified if the view was stale, since they may be waiting for a current one.
     pub(crate) fn note_current_as_of(&self, at: Moment) {
         let was_stale = !self.is_within(STALE_AFTER);
-        if self.proven_at.get().is_none_or(|before| before < at) {
-            self.proven_at.set(Some(at));
+        if self.current_as_of.get().is_none_or(|before| before < at) {
+            self.current_as_of.set(Some(at));
         }
         if was_stale {
             self.notify();
         }
     }
 
-    /// Takes note that records up to `position` are taken in.
+    /// Records that records up to `position` have been applied.
     pub(crate) fn move_to(&self, position: Offset) {
         self.position.set(position);
         self.notify();
--- a/crates/rampbay-jobs/src/intake.rs
+++ b/crates/rampbay-jobs/src/intake.rs
@@ -1,4 +1,4 @@
-//! Takes callers' jobs in and answers what became of them.
+//! Accepts callers' jobs, and answers queries for their status.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,22 +16,22 @@
 use crate::store::{AppendError, Store};
 use crate::table::JobTable;
 
-/// Time before a caller gives up at which it gets its answer; an answer that comes later is lost.
+/// How long before its caller's timeout a call is answered; a later answer is lost.
 const ANSWER_MARGIN: Duration = Duration::from_millis(40);
-/// Time that a caller must have left to be told to come back: the second after which callers are asked to
-/// come, and half a second to be served then. A caller with less is waited with.
-const LAST_WAIT: Duration = Duration::from_millis(1500);
-/// How long a caller who can come back waits while the store is known to be away.
-const AWAY_WAIT: Duration = Duration::from_millis(100);
-/// Time between two looks whether a table has become current: as long as the shortest gap between reads.
-const TABLE_LOOK: Duration = Duration::from_millis(20);
-/// Pause before an append that the store didn't take is sent again.
-const REPEAT_PAUSE: Duration = Duration::from_millis(150);
+/// A caller with more time left than this can be told to retry: the second after which callers are asked to
+/// retry, and half a second to be served then. With less, the call waits for as long as its caller does.
+const MIN_RETRY_TIME: Duration = Duration::from_millis(1500);
+/// How long a call whose caller can retry waits while the store is known to be unreachable.
+const UNREACHABLE_WAIT: Duration = Duration::from_millis(100);
+/// Time between two checks whether the table has become current: as long as the shortest gap between reads.
+const TABLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Pause before an append that the store didn't accept is sent again.
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// How a call is refused. Only [`Refusal::Unknown`] leaves open whether the job was taken.
+/// Why a call is refused. Only [`Refusal::Unknown`] leaves open whether the job was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// No configuration, or none known to be current; come back later.
+    /// The configuration is missing or isn't known to be current, or the table isn't; retry later.
     #[error("the configuration isn't known to be current")]
     NotCurrent,
     /// No queue has this host and path.
@@ -43,10 +43,10 @@
     /// The job can't be read or breaks a limit.
     #[error("the job isn't valid")]
     Invalid,
-    /// The store took nothing; come back later.
+    /// The store accepted nothing; retry later.
     #[error("the store takes no jobs now")]
     Unavailable,
-    /// The store gave no answer: the job may be taken.
+    /// The store gave no answer: the job may have been accepted.
     #[error("the store gave no answer")]
     Unknown,
     /// There is no such job.
@@ -57,36 +57,36 @@
 /// Limits of an intake.
 #[derive(Clone, Copy, Debug)]
 pub struct IntakeLimits {
-    /// Oldest configuration under which calls are answered.
+    /// Maximum age of the configuration by which calls are answered.
     pub configuration_age: Duration,
-    /// How long a call waits for a store that isn't known to be away.
+    /// How long a call waits for a store that isn't known to be unreachable.
     pub usual_wait: Duration,
-    /// Age of the table from which on the store is taken to be away.
+    /// Maximum age of the table before the store counts as unreachable.
     pub store_age: Duration,
-    /// Calls that may wait for the store at once; more are refused.
+    /// Maximum number of calls that wait for the store at a time; more are refused.
     pub max_waiting: usize,
-    /// Oldest table out of which a job is said to be unknown, or pending jobs are counted.
+    /// Maximum age of the table by which a job is reported as unknown, or pending jobs are counted.
     pub table_age: Duration,
 }
 
 /// How long a call may wait for the store.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitBudget {
-    /// Until when.
+    /// Time until which the call may wait.
     pub until: Instant,
-    /// Whether records are sent to a store that may not answer: then it stays unknown what became of
-    /// them.
+    /// Whether records may be sent to a store that may not answer: then it isn't known whether they
+    /// were stored.
     pub may_send: bool,
 }
 
-/// What an entry knows of what operators want.
+/// The operators' configuration and drain orders, as an entry knows them.
 #[derive(Debug, Default)]
 pub struct CurrentRouting {
     /// The newest version, if any has come.
     pub routing: RefCell<Option<Rc<Routing>>>,
-    /// Failure domains that are to get nothing more.
+    /// Orders to drain failure domains.
     pub drains: DrainOrders,
-    /// How old that knowledge is.
+    /// How current the configuration and the orders are.
     pub freshness: Rc<Freshness>,
 }
 
@@ -97,7 +97,7 @@
         self.routing.borrow().clone()
     }
 
-    /// Takes in a version, unless a newer one is there.
+    /// Replaces the configuration by a newer version; other versions are ignored.
     pub fn set(&self, routing: Routing) {
         let mut current = self.routing.borrow_mut();
         if current.as_ref().is_some_and(|known| known.version >= routing.version) {
@@ -113,12 +113,12 @@
     }
 }
 
-/// Ages of what an intake answers by; `None` before the first read.
+/// Ages of the data by which an intake answers; `None` before the first read.
 #[derive(Clone, Copy, Debug)]
 pub struct Ages {
-    /// Of the configuration.
+    /// Age of the configuration.
     pub configuration: Option<Duration>,
-    /// Of the table.
+    /// Age of the table.
     pub table: Option<Duration>,
 }
 
@@ -130,29 +130,29 @@
     }
 }
 
-/// Who calls, and where.
+/// Target of a call, and the key of its caller.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTarget<'a> {
     /// Host that the call names.
     pub host: &'a str,
     /// Path of the call.
     pub path: &'a str,
-    /// Key of the caller, if it shows one.
+    /// Key of the caller, if it presents one.
     pub key: Option<&'a str>,
 }
 
-/// A call that may go on.
+/// A call that was admitted.
 #[derive(Clone, Debug)]
 pub struct Admission {
     /// Its queue.
     pub queue: Queue,
     /// The caller's workspace; empty on a public queue without a key.
     pub workspace: WorkspaceName,
-    /// Version of the configuration that said so.
+    /// Version of the configuration by which the call was admitted.
     pub version: u64,
 }
 
-/// Takes jobs in.
+/// Accepts and cancels jobs, and answers queries for their status.
 pub struct Intake {
     store: Rc<dyn Store>,
     table: Rc<RefCell<JobTable>>,
@@ -163,7 +163,7 @@
 }
 
 impl Intake {
-    /// Makes an intake over a table and a configuration that are kept current elsewhere.
+    /// Creates an intake over a table and a configuration that are kept current elsewhere.
     #[must_use]
     pub fn new(
         store: Rc<dyn Store>,
@@ -182,25 +182,25 @@
     }
 
     /// Returns how long a call may wait for the store, given how long its caller waits. A caller who
-    /// has time to come back is told so soon; one who hasn't is waited with to the end.
+    /// has time to retry is told so soon; otherwise the call waits for as long as its caller does.
     #[must_use]
     pub fn wait_budget(&self, caller_waits: Option<Duration>) -> WaitBudget {
         let left = caller_waits.map_or(self.limits.usual_wait, |w| w.saturating_sub(ANSWER_MARGIN));
-        let is_last = left <= LAST_WAIT;
-        let is_away = !self.table_freshness.is_within(self.limits.store_age);
-        let wait = match (is_last, is_away) {
+        let is_last_attempt = left <= MIN_RETRY_TIME;
+        let is_unreachable = !self.table_freshness.is_within(self.limits.store_age);
+        let wait = match (is_last_attempt, is_unreachable) {
             (true, _) => left,
             (false, false) => self.limits.usual_wait.min(left),
-            (false, true) => AWAY_WAIT,
+            (false, true) => UNREACHABLE_WAIT,
         };
-        WaitBudget { until: Instant::now() + wait, may_send: is_last || !is_away }
+        WaitBudget { until: Instant::now() + wait, may_send: is_last_attempt || !is_unreachable }
     }
 
     /// Checks queue and key of a call. Waits for a configuration that is known to be current.
     ///
     /// # Errors
     ///
-    /// Says why the call may not go on.
+    /// Returns why the call is refused.
     pub async fn admit(
         &self,
         target: CallTarget<'_>,
@@ -211,7 +211,7 @@
             changes.borrow_and_update();
             match self.admit_now(target) {
                 Err(Refusal::NotCurrent) => {}
-                settled => return settled,
+                outcome => return outcome,
             }
             let _guard = self.wait_for_store().ok_or(Refusal::NotCurrent)?;
             if tokio::time::timeout_at(budget.until, changes.changed()).await.is_err() {
@@ -244,17 +244,17 @@
         Ok(Admission { queue: queue.clone(), workspace, version: routing.version })
     }
 
-    /// Keeps a job. A job that is known already is accepted again and stays as it was.
+    /// Stores a job. A job that is known already is accepted again and stays as it was.
     ///
     /// # Errors
     ///
-    /// Returns [`Refusal::Unavailable`] if the job surely isn't kept, and [`Refusal::Unknown`]
-    /// if it may be.
+    /// Returns [`Refusal::Unavailable`] if the job certainly wasn't stored, and [`Refusal::Unknown`]
+    /// if it may have been.
     pub async fn submit(&self, submission: Submission, budget: WaitBudget) -> Result<(), Refusal> {
         if self.table.borrow().jobs.contains_key(&submission.id) {
             return Ok(());
         }
-        self.keep(&Record::Submitted(Box::new(submission)), budget).await
+        self.append_record(&Record::Submitted(Box::new(submission)), budget).await
     }
 
     /// Cancels a job.
@@ -262,7 +262,7 @@
     /// # Errors
     ///
     /// Returns [`Refusal::NoJob`] if there is no such job, or it has ended, and [`Refusal::NotCurrent`] if
-    /// that couldn't be learnt in the call's time.
+    /// that couldn't be determined in the call's time.
     pub async fn cancel(&self, id: &JobId, budget: WaitBudget) -> Result<(), Refusal> {
         let known = self.table.borrow().status(id);
         let status = match known {
@@ -273,14 +273,14 @@
             JobStatus::Cancelled => Ok(()),
             JobStatus::Succeeded | JobStatus::Failed => Err(Refusal::NoJob),
             JobStatus::Queued | JobStatus::Running => {
-                self.keep(&Record::Cancelled(id.clone()), budget).await
+                self.append_record(&Record::Cancelled(id.clone()), budget).await
             }
         }
     }
 
-    /// Returns what became of a job, as of a moment after the call came. A caller who is told that there
-    /// is no such job takes it as cancelled: in a table from before the call it may be missing although
-    /// another entry has accepted it, and it would run on.
+    /// Returns the status of a job, as of a moment after the call arrived. A caller who is told that there
+    /// is no such job considers it cancelled. In a table from before the call, a job that another entry has
+    /// accepted may be missing, and the job would run on.
     async fn current_status(&self, id: &JobId, budget: WaitBudget) -> Result<JobStatus, Refusal> {
         let asked = Moment::now();
         let _guard = self.wait_for_store().ok_or(Refusal::NotCurrent)?;
@@ -294,11 +294,12 @@
             if Instant::now() >= budget.until {
                 return Err(Refusal::NotCurrent);
             }
-            tokio::time::sleep_until((Instant::now() + TABLE_LOOK).min(budget.until)).await;
+            tokio::time::sleep_until((Instant::now() + TABLE_POLL_INTERVAL).min(budget.until))
+                .await;
         }
     }
 
-    /// Returns what became of a job.
+    /// Returns the status of a job, by the table.
     ///
     /// # Errors
     ///
@@ -314,7 +315,7 @@
         Err(Refusal::NotCurrent)
     }
 
-    /// Counts a queue's jobs none of whose tasks has begun.
+    /// Counts a queue's jobs none of whose tasks has started.
     ///
     /// # Errors
     ///
@@ -326,13 +327,13 @@
         Ok(self.table.borrow().pending(queue))
     }
 
-    /// Appends a record, again and again until the store has it or the call's time is over.
-    async fn keep(&self, record: &Record, budget: WaitBudget) -> Result<(), Refusal> {
+    /// Appends a record, with retries until the store has it or the call's time is over.
+    async fn append_record(&self, record: &Record, budget: WaitBudget) -> Result<(), Refusal> {
         let _guard = self.wait_for_store().ok_or(Refusal::Unavailable)?;
         if !budget.may_send {
-            // Nothing is sent, so that the caller may be told that nothing was kept.
-            let regained = tokio::time::timeout_at(budget.until, self.store.recovered());
-            regained.await.map_err(|_| Refusal::Unavailable)?;
+            // Nothing is sent, so that the caller may be told that nothing was stored.
+            let recovered = tokio::time::timeout_at(budget.until, self.store.recovered());
+            recovered.await.map_err(|_| Refusal::Unavailable)?;
         }
         let records = [record.encode()];
         let mut refusal = Refusal::Unavailable;
@@ -344,8 +345,8 @@
                 Ok(Err(AppendError::Refused | AppendError::Fenced)) => {}
                 Err(_) => return Err(Refusal::Unknown),
             }
-            let again = (Instant::now() + REPEAT_PAUSE).min(budget.until);
-            let _ = tokio::time::timeout_at(again, self.store.recovered()).await;
+            let retry_at = (Instant::now() + RETRY_PAUSE).min(budget.until);
+            let _ = tokio::time::timeout_at(retry_at, self.store.recovered()).await;
             if Instant::now() >= budget.until {
                 return Err(refusal);
             }
--- a/crates/rampbay-jobs/src/layer.rs
+++ b/crates/rampbay-jobs/src/layer.rs
@@ -1,8 +1,8 @@
-//! Stores over other stores.
+//! Layers over a store.
 //!
-//! Each way to the store adds one thing to the way below it: groups appends, counts calls, reads through peers. What it
-//! adds nothing to is passed on, here once for all of them: a call that one of them forgot would be made up of its
-//! others, as the defaults of [`Store`] say, and cost more than it needs.
+//! Each layer adds one thing to its inner store: it groups appends, counts calls, or reads through peers. Calls to which
+//! a layer adds nothing are forwarded, here once for all layers: a call that a layer forgot to forward would fall back to
+//! the defaults of [`Store`], which make it up of other calls and cost more than needed.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 use crate::record::KeyedRecord;
 use crate::store::{AppendError, Batch, Candidacy, Fence, Offset, ReadError, Snapshot, Store};
 
-/// A store over another. Calls that it has nothing to add to are passed on; see [`Store`] for what they do.
+/// A layer over another store. Calls to which it adds nothing are forwarded; see [`Store`] for what they do.
 #[async_trait(?Send)]
 pub trait Layer {
-    /// Returns the store below.
+    /// Returns the inner store.
     fn inner(&self) -> &dyn Store;
 
     /// See [`Store::append`].
--- a/crates/rampbay-jobs/src/metrics.rs
+++ b/crates/rampbay-jobs/src/metrics.rs
@@ -26,13 +26,14 @@
 /// Labels of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StoreLabels {
-    /// Which calls these are: `direct` ones reach the store itself, `any` are what the process asks of all ways.
+    /// Layer at which the calls are counted: `direct` for calls to the store itself, `any` for all calls of the process,
+    /// whichever path they take.
     pub way: &'static str,
     /// The operation.
     pub operation: &'static str,
     /// The topic, if the operation has one.
     pub topic: String,
-    /// What came of it.
+    /// The outcome.
     pub outcome: &'static str,
 }
 
@@ -52,7 +53,7 @@
     pub call_seconds: Histogram,
     /// Calls to the store by way, operation, topic and outcome.
     pub store_calls: Family<StoreLabels, Counter>,
-    /// Time of an append, whichever way it took.
+    /// Time of an append, whichever path it took.
     pub append_seconds: Histogram,
     /// The planner's decisions.
     pub decisions: Family<KindLabel, Counter>,
@@ -62,19 +63,19 @@
     pub ends: Family<KindLabel, Counter>,
     /// Jobs with something left to do.
     pub active_jobs: Gauge,
-    /// Failure domains that get nothing more, as the leader knows them.
+    /// Drained failure domains, as the leader knows them.
     pub drained_domains: Gauge,
     /// Time that a round of the planner takes, at the leader.
     pub round_seconds: Histogram,
-    /// Workers that the planner looked at in search of room, each as often as it was looked at.
+    /// Workers that the planner examined in search of free capacity, counted each time.
     pub workers_searched: Counter,
-    /// Age of what the process knows, by what it is of.
+    /// Age of the process's views, by kind.
     pub view_age: Family<KindLabel, Gauge<f64, AtomicU64>>,
-    /// How many processes stand between this one and the store: 0 for the leader.
+    /// Number of processes between this one and the store: 0 for the leader.
     pub tree_depth: Gauge,
-    /// What the state holds, by kind.
+    /// Number of entries in the state, by kind.
     pub state: Family<KindLabel, Gauge>,
-    /// Lines of the log that were dropped since nobody read them in time.
+    /// Log lines that were dropped because they weren't read in time.
     pub dropped_lines: Counter,
 }
 
@@ -153,12 +154,12 @@
         self.ends.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// Takes note of how old a view is.
+    /// Sets the age of a view.
     pub fn set_view_age(&self, kind: &'static str, age: Duration) {
         self.view_age.get_or_create(&KindLabel { kind }).set(age.as_secs_f64());
     }
 
-    /// Takes note of how many entries of a kind the state holds.
+    /// Sets the number of entries of a kind in the state.
     pub fn set_state(&self, kind: &'static str, count: usize) {
         self.state.get_or_create(&KindLabel { kind }).set(count as i64);
     }
--- a/crates/rampbay-jobs/src/routing.rs
+++ b/crates/rampbay-jobs/src/routing.rs
@@ -7,19 +7,19 @@
 pub struct Queue {
     /// Its name.
     pub name: QueueName,
-    /// Host that callers name.
+    /// Host of its calls.
     pub host: String,
-    /// How the path of its calls starts.
+    /// Prefix of the paths of its calls.
     pub path_prefix: String,
     /// Service whose workers run its tasks.
     pub service: ServiceName,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Failed runs after which a job has failed.
+    /// Number of failed runs of a task, or of a gang, after which a job has failed.
     pub attempts: u32,
-    /// Factor on the chain of work in the objective, in thousandths.
+    /// Factor on the longest chain of dependent steps in the objective, in thousandths.
     pub stretch_permille: u64,
-    /// Added to the objective, in milliseconds.
+    /// Time added to the objective, in milliseconds.
     pub target_ms: u64,
     /// Whether callers need no key.
     pub public: bool,
@@ -32,7 +32,7 @@
     pub name: WorkspaceName,
     /// Keys of its callers.
     pub keys: Vec<String>,
-    /// Accelerators that are its own at any time.
+    /// Number of accelerators that are guaranteed to it at any time.
     pub guaranteed_devices: u64,
 }
 
@@ -50,13 +50,13 @@
 }
 
 impl Routing {
-    /// Returns the queue of a call: its host's longest prefix of `path`.
+    /// Returns the queue of a call: the queue of the host with the longest prefix of `path`.
     #[must_use]
     pub fn queue(&self, host: &str, path: &str) -> Option<&Queue> {
-        let fits = |queue: &&Queue| {
+        let is_match = |queue: &&Queue| {
             queue.host.eq_ignore_ascii_case(host) && path.starts_with(&queue.path_prefix)
         };
-        self.queues.iter().filter(fits).max_by_key(|queue| queue.path_prefix.len())
+        self.queues.iter().filter(is_match).max_by_key(|queue| queue.path_prefix.len())
     }
 
     /// Returns the workspace that a key belongs to.
--- a/crates/rampbay-jobs/src/settings.rs
+++ b/crates/rampbay-jobs/src/settings.rs
@@ -11,18 +11,20 @@
 use crate::planner::PlannerSettings;
 use crate::record::Member;
 
-/// Slowest rate of a worker's clock against ours, in thousandths.
+/// Maximum rate of this process's clock relative to a worker's, in thousandths: a worker's clock may be that
+/// much slower.
 const CLOCK_DRIFT_PERMILLE: u64 = 1020;
-/// Added to the end of a lease before a run is taken to be gone.
-const LAPSE_SLACK: Duration = Duration::from_millis(300);
-/// Part of the time allowed for the removal of a key after which an entry stops answering.
+/// Time added to the end of a lease before a run counts as gone.
+const EXPIRY_SLACK: Duration = Duration::from_millis(300);
+/// Share of the time allowed for the removal of a key, in thousandths: an entry whose configuration is older
+/// than this share stops answering.
 const REVOCATION_MARGIN_PERMILLE: u64 = 550;
 
-/// Part of the time allowed for a drain after which a leader whose knowledge of the operators' orders is as
-/// old assigns nothing more: the rest is for the agents' view (2 s) and the order itself.
+/// Share of the time allowed for a drain, in thousandths: a leader whose view of the operators' orders is older
+/// than this share assigns nothing more. The rest is for the agents' view (2 s) and the order itself.
 const DRAIN_MARGIN_PERMILLE: u64 = 550;
 
-/// Settings of a process. Unknown fields are passed over, so that a newer platform may add some.
+/// Settings of a process. Unknown fields are ignored, so that a newer platform may add some.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
     /// Name of the process.
@@ -35,45 +37,45 @@
     pub peer_port: u16,
     /// Port of its metrics.
     pub metrics_port: u16,
-    /// Where callers come in; entries only.
+    /// Address that callers connect to; entries only.
     pub callers: Option<SocketAddr>,
-    /// Where readiness is asked for; entries only.
+    /// Address of the readiness check; entries only.
     pub readiness: Option<SocketAddr>,
-    /// Where the worker registers; agents only.
+    /// Address at which the worker registers; agents only.
     pub registration: Option<SocketAddr>,
-    /// Addresses of some entries, before the store has told of all processes.
+    /// Addresses of some entries, used until the addresses of all processes are known from the store.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Where the store is.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Longest lease that a worker gives.
+    /// Longest lease that a worker grants.
     pub lease_ms: u64,
     /// Time that a stop takes at a worker.
     pub stop_ms: u64,
-    /// Time after which a removed key may no longer be taken.
+    /// Time after which a removed key may no longer be accepted.
     pub revocation_ms: u64,
     /// Time after which nothing may be started in a failure domain that operators drain.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
-    /// Time after which a machine that is reached knows what changes.
+    /// Time within which a machine that can be reached learns of a change.
     #[serde(default = "default_awareness_ms")]
     pub awareness_ms: u64,
     /// Time between two heartbeats of a worker.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// Age up to which the count of pending jobs may be given.
+    /// Maximum age of the count of pending jobs that callers are given.
     pub visible_ms: u64,
-    /// How long callers may ask for a job after its end.
+    /// How long after its end callers may query a job.
     #[serde(default = "default_status_s")]
     pub status_s: u64,
     /// Time between SIGTERM and SIGKILL.
     pub grace_s: f64,
-    /// How much longer work takes away from its data.
+    /// Factor by which work takes longer away from its data.
     pub remote_penalty: u64,
-    /// Least time that a candidate for leadership may be silent.
+    /// Minimum time for which a candidate for leadership may be silent.
     pub leader_ttl_ms: u64,
-    /// How a leader writes the accounts of wide jobs: `in_parts`, or `whole` while processes of a release are left that
-    /// knows no parts. All processes read both.
+    /// How a leader writes the plans of wide jobs: `in_parts`, or `whole` as long as processes of a release without parts
+    /// are running. All processes read both.
     #[serde(default)]
     pub wide_accounts: PlanLayout,
     /// Bandwidth of the machine's link, in megabits a second; 0 if it isn't known.
@@ -82,7 +84,7 @@
     /// Share of a core that the process gets; 0 if it isn't known.
     #[serde(default)]
     pub cpu_share: f64,
-    /// How many times as fast as one core that share runs.
+    /// Factor on `cpu_share`: how many times as fast as one core the share runs.
     #[serde(default = "default_cores")]
     pub cores: f64,
     /// Lowest level of log lines.
@@ -126,11 +128,11 @@
 }
 
 impl Settings {
-    /// Checks that the values can be worked with.
+    /// Checks that the values are usable.
     ///
     /// # Errors
     ///
-    /// Says which value is wrong.
+    /// Returns an error that says which value is wrong.
     pub fn check(self) -> Result<Self, SettingsError> {
         let invalid = |text: &str| Err(SettingsError::Invalid(text.to_owned()));
         if self.node.is_empty() {
@@ -154,10 +156,10 @@
         Ok(self)
     }
 
-    /// Returns the time after the last renewal was sent from which no lease is left.
+    /// Returns the time after which all leases have expired, counted from when the last renewal was sent.
     #[must_use]
     pub fn lease_expiry(&self) -> Duration {
-        Duration::from_millis(self.lease_ms * CLOCK_DRIFT_PERMILLE / 1000) + LAPSE_SLACK
+        Duration::from_millis(self.lease_ms * CLOCK_DRIFT_PERMILLE / 1000) + EXPIRY_SLACK
     }
 
     /// Describes this process to its peers.
@@ -173,27 +175,27 @@
         }
     }
 
-    /// Returns the oldest configuration under which calls are answered.
+    /// Returns the maximum age of the configuration by which calls are answered.
     #[must_use]
     pub fn configuration_age(&self) -> Duration {
         Duration::from_millis(self.revocation_ms * REVOCATION_MARGIN_PERMILLE / 1000)
     }
 
-    /// Returns the oldest table out of which a job is said to be unknown.
+    /// Returns the maximum age of the table by which a job is reported as unknown.
     #[must_use]
     pub const fn table_age(&self) -> Duration {
         Duration::from_millis(self.visible_ms / 2)
     }
 
-    /// Returns the times of an agent.
+    /// Returns the settings of an agent.
     #[must_use]
     pub fn agent(&self) -> AgentSettings {
         AgentSettings {
             lease: Duration::from_millis(self.lease_ms),
             lease_expiry: self.lease_expiry(),
-            max_renewal_table_age: GUARD,
+            max_renewal_table_age: MAX_RENEWAL_TABLE_AGE,
             max_start_table_age: Duration::from_millis(2000),
-            max_heartbeat_age: self.room_age(),
+            max_heartbeat_age: self.max_heartbeat_age(),
             silence_timeout: Duration::from_millis(2500),
             renewal_wait: Duration::from_millis(1000),
             report_interval: Duration::from_millis(1000),
@@ -202,23 +204,23 @@
         }
     }
 
-    /// Returns the oldest account of a worker under which runs are started. A room that has shrunk counts after
-    /// `awareness_ms` and one heartbeat, less what a start takes.
-    fn room_age(&self) -> Duration {
+    /// Returns the maximum age of a worker's heartbeat by which runs are started. A capacity that has shrunk has to be
+    /// respected after `awareness_ms` and one heartbeat; the time that a start takes is deducted.
+    fn max_heartbeat_age(&self) -> Duration {
         let shrunk_ms = self.awareness_ms + self.heartbeat_ms;
-        Duration::from_millis(shrunk_ms.saturating_sub(START_TIME_MS).max(self.heartbeat_ms))
+        Duration::from_millis(shrunk_ms.saturating_sub(MAX_START_MS).max(self.heartbeat_ms))
     }
 
-    /// Returns the times of a planner.
+    /// Returns the settings of a planner.
     #[must_use]
     pub fn planner(&self) -> PlannerSettings {
         PlannerSettings {
             suspect_after: Duration::from_millis(3500),
             evict_after: Duration::from_millis(7000),
-            remove_evicted_after: GUARD + self.lease_expiry() + LAPSE_SLACK,
-            remove_departed_after: self.lease_expiry() + LAPSE_SLACK,
+            remove_evicted_after: MAX_RENEWAL_TABLE_AGE + self.lease_expiry() + EXPIRY_SLACK,
+            remove_departed_after: self.lease_expiry() + EXPIRY_SLACK,
             stall_after: Duration::from_millis(3500),
-            ended_job_retention: Duration::from_secs(self.status_s * KEEP_FACTOR),
+            ended_job_retention: Duration::from_secs(self.status_s * RETENTION_FACTOR),
             max_drain_orders_age: Duration::from_millis(
                 self.drain_ms * DRAIN_MARGIN_PERMILLE / 1000,
             ),
@@ -228,11 +230,11 @@
     }
 }
 
-/// Longest time that a start takes, with its repeats, in milliseconds: three orders of 300 ms, and their way.
-const START_TIME_MS: u64 = 1500;
-/// Jobs are kept so many times as long as callers may ask for them, since an append without answer
-/// may still come.
-const KEEP_FACTOR: u64 = 2;
-/// Longest time that an agent renews leases without news from the store: outages up to this long
-/// cost no work.
-const GUARD: Duration = Duration::from_millis(9000);
+/// Maximum time that a start takes, with its retries, in milliseconds: three orders of 300 ms, and their transmission.
+const MAX_START_MS: u64 = 1500;
+/// Ended jobs are kept this many times as long as callers may query them, since an append that got no
+/// answer may still be carried out.
+const RETENTION_FACTOR: u64 = 2;
+/// Maximum age of the table by which an agent renews leases: outages of the store up to this long cost
+/// no work.
+const MAX_RENEWAL_TABLE_AGE: Duration = Duration::from_millis(9000);
--- a/crates/rampbay-jobs/src/store.rs
+++ b/crates/rampbay-jobs/src/store.rs
@@ -1,4 +1,4 @@
-//! Border to the store: an append-only log whose newest record of each key is kept for good.
+//! Interface to the store: an append-only log that keeps the newest record of each key permanently.
 
 use std::time::Duration;
 
@@ -14,13 +14,15 @@
 /// Offset of a record in its topic.
 pub type Offset = u64;
 
-/// Most bytes of one append: a quarter of what the store takes in one call, and 25 ms of a partition's time. A limit
-/// by number would bind what a slow store takes: 64 records an append were 270 a second at one 60 times slower.
+/// Maximum bytes of one append: a quarter of what the store accepts in one call, and 25 ms of a partition's time. A limit
+/// on the number of records would limit a slow store's throughput: 64 records an append were 270 records a second at a
+/// store 60 times slower.
 pub const BYTES_PER_APPEND: usize = 512 << 10;
 
-/// Divides records into appends, each of [`BYTES_PER_APPEND`] at most, of a single record, or of the last records about one
-/// job or worker: whoever leads next must not find half of a gang started, nor a job that begins anew since its account alone
-/// was removed. The account of 20,000 tasks takes 0.8 MB, and the store two megabytes a call.
+/// Divides records into appends of at most [`BYTES_PER_APPEND`]. An append may be larger if it is a single record, or if it
+/// ends with records about one job or worker, which stay together: the next leader must not find half of a gang started,
+/// nor a job that starts again because only its plan was removed. The plan of 20,000 tasks takes 0.8 MB, and the store
+/// accepts two megabytes a call.
 pub fn split_into_appends(records: &[KeyedRecord]) -> impl Iterator<Item = &[KeyedRecord]> {
     let mut bytes = 0;
     records.chunk_by(move |before, next| {
@@ -35,7 +37,7 @@
 }
 
 /// Marks the appends of one writer, so that the store refuses older writers and answers a
-/// repeated append again without doing it twice.
+/// repeated append again without carrying it out twice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
     /// Name that all writers of one kind share.
@@ -50,12 +52,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum AppendError {
     /// Nothing was done; try again later.
-    #[error("the store turned the append away")]
+    #[error("the store refused the append")]
     Refused,
     /// Nothing was done: a writer with a higher epoch has taken over.
     #[error("a newer writer has taken over")]
     Fenced,
-    /// The append may have been done, or may still be.
+    /// The append may have been carried out, or may still be.
     #[error("no answer to the append")]
     Unknown,
 }
@@ -66,7 +68,7 @@
     /// The records from this offset on are gone; read the newest of each key instead.
     #[error("the store has dropped these records")]
     Trimmed,
-    /// The store can't be reached or turned the call away.
+    /// The store can't be reached or refused the call.
     #[error("the store can't be read")]
     Unavailable,
 }
@@ -76,28 +78,29 @@
 pub struct Batch {
     /// The offset after the last record that the topic holds.
     pub end: Offset,
-    /// The offset up to which the records speak, and from which to read on.
+    /// The offset up to which the answer covers the topic, and from which to read on.
     pub next: Offset,
-    /// Records from the asked offset on. Without gaps where `next` follows on the last of them;
-    /// otherwise those that concern the reader.
+    /// Records from the requested offset on: all of them if `next` follows the last one, otherwise those
+    /// that concern the reader.
     pub records: Vec<KeyedRecord>,
-    /// How old the answer's view of the store was when it was given; zero from the store itself.
+    /// Age of the answering process's view when it answered; zero if the store itself answered.
     pub age: Duration,
-    /// How long ago somebody surely led, as far as whoever gave the answer has heard; `None` from the store itself.
+    /// How long ago a process is known to have led, by the answering process; `None` if the store itself answered.
     pub led_age: Option<Duration>,
-    /// How long the answer surely waited for a record before it found none. Whoever made the call says
-    /// so ([`Self::after_wait`]): a way may wait less than its reader asked for, or be the second one.
+    /// How long the call is known to have waited for a record before it found none. The caller sets it
+    /// ([`Self::after_wait`]), since a layer may wait less than its reader asked for, or be the second one that was
+    /// called.
     #[serde(skip)]
     pub waited: Duration,
-    /// Whether only what concerns the reader was asked for. Whoever made the call says so: an answer with gaps
-    /// may have as many records as one without, since jobs come along with their accounts.
+    /// Whether only records that concern the reader were requested. The caller sets it, since an answer with gaps may
+    /// have as many records as one without: jobs are sent along with their plans.
     #[serde(skip)]
     pub is_partial: bool,
 }
 
 impl Batch {
-    /// Takes note that the answer is to a call that was sent at `sent` and told to wait `wait`. One that
-    /// is empty comes only after that wait, and speaks for its end; any other speaks for `sent`.
+    /// Records that the answer is to a call that was sent at `sent` and asked to wait `wait`. An empty
+    /// answer comes only after that wait and is current as of its end; any other is current as of `sent`.
     #[must_use]
     pub fn after_wait(mut self, sent: Instant, wait: Duration) -> Self {
         let waited = self.records.is_empty() && sent.elapsed() >= wait;
@@ -105,22 +108,22 @@
         self
     }
 
-    /// Returns the time for which the answer speaks, to a reader whose call began at `started`: all that
-    /// the store had acknowledged by then lies before `end`. `None` if that is too long ago to be told.
+    /// Returns the time as of which the answer is current, for a reader whose call started at `started`: all
+    /// that the store had acknowledged by then is before `end`. `None` if that time can't be represented.
     #[must_use]
     pub fn current_as_of(&self, started: Moment) -> Option<Moment> {
         (started + self.waited).checked_sub(self.age)
     }
 
-    /// Returns when somebody surely led, to a reader whose call began at `started`.
+    /// Returns when a process is known to have led, for a reader whose call started at `started`.
     #[must_use]
     pub fn led_at(&self, started: Moment) -> Option<Moment> {
         (started + self.waited).checked_sub(self.led_age?)
     }
 
-    /// Returns the records that a reader who asked from `from` on and has come to `known` meanwhile
-    /// hasn't taken in yet. Where some are left out, offsets say nothing, and all are returned: the
-    /// newest record of a key counts.
+    /// Returns the records that a reader hasn't applied yet, which requested them from `from` on and has
+    /// reached `known` in the meantime. If the answer may leave records out, their offsets aren't known, and
+    /// all records are returned: the newest record of a key counts.
     #[must_use]
     pub fn new_since(&self, from: Offset, known: Offset) -> &[KeyedRecord] {
         let is_whole = !self.is_partial && from + self.records.len() as Offset == self.next;
@@ -132,20 +135,20 @@
 /// The newest record of each key.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The records; not all of one moment.
+    /// The records; not all of them were read at the same moment.
     pub records: Vec<KeyedRecord>,
-    /// From where to read on, so that nothing is missed.
+    /// Offset from which to read on, so that nothing is missed.
     pub read_from: Offset,
-    /// The end when the last part was read.
+    /// End of the topic when the last part of the snapshot was read.
     pub end: Offset,
-    /// How old the view was that it is of; zero from the store itself.
+    /// Age of the view that the snapshot was taken of; zero if the store itself answered.
     pub age: Duration,
 }
 
-/// An answer to a call for leadership.
+/// An answer to a candidate for leadership.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Candidacy {
-    /// Number of the group's composition; rises with each change.
+    /// Number of the composition of the group of candidates; rises with each change.
     pub generation: u64,
     /// Whether this member leads.
     pub leads: bool,
@@ -158,7 +161,7 @@
     ///
     /// # Errors
     ///
-    /// Says whether the records may have been kept.
+    /// Returns an error that says whether the records may have been stored.
     async fn append(
         &self,
         topic: &str,
@@ -166,11 +169,11 @@
         fence: Option<&Fence>,
     ) -> Result<Offset, AppendError>;
 
-    /// Hands in reports of the runs' progress; the newest of each key counts. They may be lost on the way.
+    /// Sends reports of the runs' progress; the newest of each key counts. Reports may be lost on the way.
     ///
     /// # Errors
     ///
-    /// Returns an error if nobody took them.
+    /// Returns an error if no process accepted them.
     async fn report(&self, reports: &[KeyedRecord]) -> Result<(), AppendError> {
         self.append(PROGRESS_TOPIC, reports, None).await.map(|_| ())
     }
@@ -182,7 +185,7 @@
     /// Returns an error if the records are gone or the store can't be read.
     async fn read(&self, topic: &str, from: Offset, wait: Duration) -> Result<Batch, ReadError>;
 
-    /// Returns how far a topic goes, where records up to `known` are known.
+    /// Returns the end of a topic, whose records up to `known` the caller knows.
     ///
     /// # Errors
     ///
@@ -198,7 +201,7 @@
     /// Returns an error if the store can't be read.
     async fn newest(&self, topic: &str) -> Result<Snapshot, ReadError>;
 
-    /// Stands, or remains, a candidate for leadership.
+    /// Becomes, or remains, a candidate for leadership.
     ///
     /// # Errors
     ///
@@ -212,15 +215,15 @@
     /// Gives leadership up.
     async fn resign(&self, member: &str);
 
-    /// Returns who leads, if anybody does. The answer is small: it also shows whether the store
-    /// answers at all.
+    /// Returns the process that leads, if any. The answer is small, so that the call also serves to check
+    /// whether the store answers at all.
     ///
     /// # Errors
     ///
-    /// Returns an error if the store can't be reached or turned the call away.
+    /// Returns an error if the store can't be reached or refused the call.
     async fn holder(&self) -> Result<Option<NodeName>, ReadError>;
 
-    /// Waits until the store answers again after it didn't; for ever where that isn't observed.
+    /// Waits until the store answers again after it didn't; forever where that isn't observed.
     async fn recovered(&self) {
         std::future::pending::<()>().await;
     }
--- a/crates/rampbay-jobs/src/table.rs
+++ b/crates/rampbay-jobs/src/table.rs
@@ -176,8 +176,8 @@
         self.membership_version = MEMBERSHIP_VERSIONS.fetch_add(1, Ordering::Relaxed) + 1;
     }
 
-    /// Returns the version of the members and the leader, which differs after each change of them. What is derived from
-    /// them needs to be derived again only then.
+    /// Returns the version of the members and the leader: another number after each change. What is derived from them
+    /// needs to be derived again only then.
     #[must_use]
     pub const fn membership_version(&self) -> u64 {
         self.membership_version
