--- a/crates/rampbay-jobs/tests/support/faulty_store.rs
+++ b/crates/rampbay-jobs/tests/support/faulty_store.rs
@@ -1,4 +1,4 @@
-//! One agent's way to the store, with faults.
+//! An agent's connection to the store, with faults.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,20 +12,20 @@
 
 use super::store::MemoryStore;
 
-/// How long a call takes to fail while the way is cut.
+/// How long a call takes to fail while the connection is cut.
 const FAILS_AFTER: Duration = Duration::from_millis(100);
 
-/// A way to the store.
+/// A connection to the store that can fail.
 pub struct FaultyStore {
     store: Rc<MemoryStore>,
-    /// How many appends with a registration are turned away.
+    /// How many appends with a registration are still to be refused.
     pub refused_registrations: Cell<u32>,
     /// Whether every call fails.
     pub cut: Cell<bool>,
 }
 
 impl FaultyStore {
-    /// Makes a way that turns the first registrations away.
+    /// Creates a connection that refuses the first registrations.
     pub fn new(store: &Rc<MemoryStore>, refused: u32) -> Rc<Self> {
         Rc::new(Self {
             store: Rc::clone(store),
@@ -60,7 +60,7 @@
         self.store.append(topic, records, fence).await
     }
 
-    /// Reports take the same way as appends.
+    /// Sends reports as appends, so that they fail alike.
     async fn report(&self, reports: &[KeyedRecord]) -> Result<(), AppendError> {
         Layer::append(self, PROGRESS_TOPIC, reports, None).await.map(|_| ())
     }
--- a/crates/rampbay-jobs/tests/support/intake.rs
+++ b/crates/rampbay-jobs/tests/support/intake.rs
@@ -12,7 +12,7 @@
 
 use super::store::MemoryStore;
 
-/// The intake of an entry, with what it goes by.
+/// The intake of an entry, with the data that it uses.
 pub struct IntakeRig {
     /// The store.
     pub store: Rc<MemoryStore>,
@@ -67,12 +67,12 @@
         Self { store, live, routing, intake }
     }
 
-    /// Submits a job whose caller waits so long.
+    /// Submits a job whose caller waits for a time.
     pub async fn submit(&self, job: Submission, waits: Duration) -> Result<(), Refusal> {
         self.intake.submit(job, self.intake.wait_budget(Some(waits))).await
     }
 
-    /// Asks for admission with the key, for a caller that waits so long.
+    /// Requests admission with the key, for a caller that waits for a time.
     pub async fn admit(&self, waits: Duration) -> Result<Admission, Refusal> {
         let target = CallTarget { host: "host", path: "/keyed/x", key: Some("key") };
         self.intake.admit(target, self.intake.wait_budget(Some(waits))).await
--- a/crates/rampbay-jobs/tests/support/mod.rs
+++ b/crates/rampbay-jobs/tests/support/mod.rs
@@ -47,7 +47,7 @@
     static SUSPENDED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
-/// Lets a time pass for which all machines are suspended: the steady clock, and with it all timers, stand still.
+/// Suspends all machines for a time, during which the monotonic clock, and with it all timers, stand still.
 pub fn suspend(time: Duration) {
     SUSPENDED.set(SUSPENDED.get() + time);
 }
@@ -56,7 +56,7 @@
     thread_local! {
         static START: tokio::time::Instant = tokio::time::Instant::now();
     }
-    // Beyond any age that is subtracted.
+    // Greater than any age that is subtracted.
     const BOOTED: Duration = Duration::from_secs(1_000_000);
     BOOTED + START.with(tokio::time::Instant::elapsed) + SUSPENDED.get()
 }
@@ -115,12 +115,12 @@
     }
 }
 
-/// Names a task of the first occurrence's first step.
+/// Returns the id of a task of the first occurrence's first step.
 pub fn task(job: &str, index: u32) -> TaskId {
     TaskId { job: job.to_owned(), occurrence: 0, step: 0, index }
 }
 
-/// An account in which all tasks of a one-step job run at one worker.
+/// A plan in which all tasks of a one-step job run at one worker.
 pub fn running_plan(count: u32, instance: &str, attempt: u32) -> JobPlan {
     let running = TaskPlan {
         status: TaskStatus::Running,
@@ -135,7 +135,7 @@
     }
 }
 
-/// Tells the time of day, which goes on with virtual time.
+/// Returns the time of day, which advances with virtual time.
 pub fn virtual_wall_clock() -> u64 {
     thread_local! {
         static START: tokio::time::Instant = tokio::time::Instant::now();
@@ -160,7 +160,7 @@
         Self::start_with_store(store, shared, worker)
     }
 
-    /// Starts an agent process whose way to the store is another.
+    /// Starts an agent process that reaches the store through `shared`, a layer over it.
     pub fn start_with_store(
         store: Rc<MemoryStore>,
         shared: Rc<dyn Store>,
@@ -169,7 +169,7 @@
         Self::start_node("side-1", store, shared, worker)
     }
 
-    /// Starts an agent process of a machine.
+    /// Starts an agent process under a name.
     pub fn start_node(
         node: &str,
         store: Rc<MemoryStore>,
@@ -205,7 +205,7 @@
         self.heartbeat_with_devices(instance, sequence, 8);
     }
 
-    /// Lets the worker send a heartbeat that says how many accelerators it has.
+    /// Lets the worker send a heartbeat that reports how many accelerators it has.
     pub fn heartbeat_with_devices(&self, instance: &str, sequence: u64, devices: u64) {
         let heartbeat = Heartbeat {
             instance: instance.to_owned(),
@@ -217,12 +217,12 @@
         self.host.heartbeat(heartbeat);
     }
 
-    /// Lets the worker send no more heartbeats, though it answers.
+    /// Stops the worker's heartbeats, though the worker still answers.
     pub fn stop_heartbeats(&self) {
         *self.latest.borrow_mut() = None;
     }
 
-    /// Kills the process. Calls that are under way are never heard of again.
+    /// Kills the process. The answers to calls that are under way are lost.
     pub fn kill(self) {
         for task in &self.tasks {
             task.abort();
@@ -231,7 +231,7 @@
     }
 }
 
-/// Lets a worker that is there say once more what it said last, again and again.
+/// Repeats the latest heartbeat of a worker again and again, while the worker is running.
 async fn repeat_heartbeats(
     host: Rc<AgentHost>,
     worker: Rc<FakeWorker>,
@@ -249,7 +249,7 @@
     }
 }
 
-/// Returns the table that the records of a store make.
+/// Builds the table that follows from the records of a store.
 pub fn table_of(store: &MemoryStore) -> JobTable {
     let mut table = JobTable::default();
     for record in store.all(rampbay_jobs::record::STATE_TOPIC) {
@@ -258,7 +258,7 @@
     table
 }
 
-/// Returns the account of a job's first task.
+/// Returns the plan of a job's first task.
 ///
 /// # Panics
 ///
--- a/crates/rampbay-jobs/tests/support/property.rs
+++ b/crates/rampbay-jobs/tests/support/property.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::RngSeed;
 
-/// The same cases in every run; `RAMPBAY_SEED` and `RAMPBAY_CASES` draw others.
+/// Draws the same cases in every run; `RAMPBAY_SEED` and `RAMPBAY_CASES` draw others.
 pub fn config(cases: u32) -> ProptestConfig {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let factor = number("RAMPBAY_CASES").unwrap_or(1);
--- a/crates/rampbay-jobs/tests/support/site.rs
+++ b/crates/rampbay-jobs/tests/support/site.rs
@@ -18,25 +18,25 @@
 use super::worker::FakeWorker;
 use super::{AgentRig, job, table_of, worker_record};
 
-/// Time after which a crashed worker is back, as another life.
-const BACK_AFTER: Duration = Duration::from_secs(3);
+/// Time after which a crashed worker runs again, as another incarnation.
+const RESTART_DELAY: Duration = Duration::from_secs(3);
 /// Time between two heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Accelerators of a whole worker.
 pub const DEVICES: u64 = 8;
 
 /// What the tasks of a job do.
 #[derive(Clone, Copy, Debug)]
 pub enum Work {
-    /// They end well after this time.
+    /// They succeed after this time.
     Ends(Duration),
-    /// The first of them crashes its worker after this time; the others end well after a second.
+    /// The first of them crashes its worker after this time; the others succeed after a second.
     Crashes(Duration),
     /// The first of them crashes its worker and the machine's agent after this time.
     CrashesMachine(Duration),
     /// All of them crash their workers after this time.
     AllCrash(Duration),
-    /// A gang, whose first member crashes its worker after this time, and whose others end broken then.
+    /// A gang, whose first member crashes its worker after this time; the other members then end as broken.
     GangCrashes(Duration),
 }
 
@@ -49,11 +49,11 @@
     pub attempt: u32,
     /// The machine.
     pub machine: usize,
-    /// When.
+    /// Time of the start.
     pub at: Instant,
-    /// Number of other runs there at that time.
+    /// Number of other runs at the worker at that time.
     pub runs_beside: usize,
-    /// Number of accelerators that the worker had last told of.
+    /// Number of accelerators that the worker had last reported.
     pub known_devices: u64,
 }
 
@@ -63,12 +63,13 @@
     /// Its worker.
     pub worker: Rc<FakeWorker>,
     agent: RefCell<Option<AgentRig>>,
-    lives: Cell<u32>,
-    /// When its worker leaves, once that has given notice.
+    /// Number of its worker's current incarnation, from 0.
+    incarnation: Cell<u32>,
+    /// Time at which its worker leaves, once the worker has given notice.
     leaves_at: Cell<Option<Instant>>,
-    /// Number of its worker's accelerators, which the next heartbeat tells.
+    /// Number of its worker's accelerators, which the next heartbeat reports.
     pub devices: Cell<u64>,
-    told_devices: Cell<u64>,
+    reported_devices: Cell<u64>,
 }
 
 /// The machines, and what happened there.
@@ -95,10 +96,10 @@
                 index,
                 worker: FakeWorker::new(&format!("i-{index}-0")),
                 agent: RefCell::default(),
-                lives: Cell::new(0),
+                incarnation: Cell::new(0),
                 leaves_at: Cell::new(None),
                 devices: Cell::new(DEVICES),
-                told_devices: Cell::new(DEVICES),
+                reported_devices: Cell::new(DEVICES),
             })
         };
         let site = Rc::new(Self {
@@ -115,7 +116,7 @@
             let (site, machine) = (Rc::clone(&site), Rc::clone(machine));
             let hooked = Rc::clone(&machine);
             *machine.worker.on_start.borrow_mut() =
-                Some(Rc::new(move |task, attempt| site.take_start(&hooked, task, attempt)));
+                Some(Rc::new(move |task, attempt| site.record_start(&hooked, task, attempt)));
             tokio::task::spawn_local(send_heartbeats(machine));
         }
         site.replace_leader();
@@ -130,7 +131,7 @@
         *machine.agent.borrow_mut() = Some(rig);
     }
 
-    /// Ends the process that leads; another one follows.
+    /// Ends the process that leads, and starts another one in its place.
     pub fn replace_leader(&self) {
         if let Some(leader) = self.leader.borrow_mut().take() {
             leader.abort();
@@ -142,8 +143,8 @@
         *self.leader.borrow_mut() = Some(leader);
     }
 
-    /// Takes the power of all machines away, of the leader's too where `salt` tells the number that it draws next, and
-    /// gives it back after pauses: to the leader first. All that had power starts anew, the leader under its name.
+    /// Cuts the power of all machines, and restores it after pauses, the first of which is the leader's. The leader loses
+    /// power, too, if `salt` is given: it is the salt of the process that starts again under the leader's name.
     pub async fn lose_power(self: &Rc<Self>, salt: Option<u64>, pauses: &[Duration]) {
         if let Some(leader) = self.leader.borrow_mut().take_if(|_| salt.is_some()) {
             leader.abort();
@@ -161,14 +162,14 @@
 
     fn lose_power_at(self: &Rc<Self>, machine: &Rc<Machine>, pause: Duration) {
         self.remove_agent(machine);
-        let life = machine.lives.get() + 1;
-        machine.lives.set(life);
+        let incarnation = machine.incarnation.get() + 1;
+        machine.incarnation.set(incarnation);
         machine.worker.gone.set(true);
-        machine.worker.replace(&format!("i-{}-{life}", machine.index));
+        machine.worker.replace(&format!("i-{}-{incarnation}", machine.index));
         let (site, machine) = (Rc::clone(self), Rc::clone(machine));
         tokio::task::spawn_local(async move {
             sleep(pause).await;
-            if machine.lives.get() == life {
+            if machine.incarnation.get() == incarnation {
                 machine.worker.gone.set(false);
                 site.start_agent(&machine);
             }
@@ -203,10 +204,10 @@
         third.map_or(0, |(_, at)| self.starts_of(id).iter().filter(|start| start.at > *at).count())
     }
 
-    fn take_start(self: &Rc<Self>, machine: &Rc<Machine>, task: &TaskId, attempt: u32) {
+    fn record_start(self: &Rc<Self>, machine: &Rc<Machine>, task: &TaskId, attempt: u32) {
         let runs_beside = machine.worker.running().len() - 1;
         let at = Instant::now();
-        let known_devices = machine.told_devices.get();
+        let known_devices = machine.reported_devices.get();
         let start = Start {
             task: task.clone(),
             attempt,
@@ -220,7 +221,7 @@
         let run = StartedRun {
             site: Rc::clone(self),
             machine: Rc::clone(machine),
-            life: machine.lives.get(),
+            incarnation: machine.incarnation.get(),
             task: task.clone(),
             attempt,
         };
@@ -245,14 +246,14 @@
         self.start_agent(machine);
     }
 
-    /// Lets a machine's worker give notice that it leaves.
+    /// Lets a machine's worker give notice that it leaves after a time.
     pub fn give_notice(&self, machine: &Machine, time: Duration) {
         machine.leaves_at.set(Some(Instant::now() + time));
     }
 
-    /// Ends a machine's worker for good, without good-bye.
+    /// Ends a machine's worker for good, without deregistration.
     pub fn remove_worker(&self, machine: &Machine) {
-        machine.lives.set(machine.lives.get() + 1);
+        machine.incarnation.set(machine.incarnation.get() + 1);
         machine.worker.gone.set(true);
         machine.worker.replace("none");
     }
@@ -264,58 +265,66 @@
         }
     }
 
-    /// Lets a machine's worker say good-bye.
+    /// Lets a machine's worker deregister.
     pub fn deregister(&self, machine: &Machine) {
         let instance = machine.worker.instance.borrow().clone();
         if let Some(agent) = machine.agent.borrow().as_ref() {
-            agent.host.deregister(|life| life == instance);
+            agent.host.deregister(|incarnation| incarnation == instance);
         }
     }
 
-    /// Crashes a machine's worker; another life follows.
+    /// Crashes a machine's worker, which starts again as another incarnation.
     pub fn crash(&self, machine: &Rc<Machine>) {
-        let life = machine.lives.get() + 1;
-        machine.begin_life(life, &format!("i-{}-{life}", machine.index), BACK_AFTER);
+        let incarnation = machine.incarnation.get() + 1;
+        machine.start_incarnation(
+            incarnation,
+            &format!("i-{}-{incarnation}", machine.index),
+            RESTART_DELAY,
+        );
     }
 
-    /// Crashes a machine's worker; another life follows after a pause, under the id of the one before.
+    /// Crashes a machine's worker, which starts again after a pause as another incarnation, under the id of the first.
     pub fn restart_worker(&self, machine: &Rc<Machine>, pause: Duration) {
-        let life = machine.lives.get() + 1;
-        machine.begin_life(life, &format!("i-{}~{}", machine.index, life * 1000), pause);
+        let incarnation = machine.incarnation.get() + 1;
+        machine.start_incarnation(
+            incarnation,
+            &format!("i-{}~{}", machine.index, incarnation * 1000),
+            pause,
+        );
     }
 }
 
 impl Machine {
-    /// Ends the worker's life, and begins another one after a pause in which nobody listens.
-    fn begin_life(self: &Rc<Self>, life: u32, instance: &str, pause: Duration) {
-        self.lives.set(life);
+    /// Ends the worker's incarnation, and starts another one after a pause in which the worker doesn't listen.
+    fn start_incarnation(self: &Rc<Self>, incarnation: u32, instance: &str, pause: Duration) {
+        self.incarnation.set(incarnation);
         self.worker.gone.set(true);
         self.worker.replace(instance);
         let machine = Rc::clone(self);
         tokio::task::spawn_local(async move {
             sleep(pause).await;
-            if machine.lives.get() == life {
+            if machine.incarnation.get() == incarnation {
                 machine.worker.gone.set(false);
-                // Until its agent reaches it, a life can't know what was ordered for the one before.
+                // Until its agent reaches it, an incarnation can't know what was ordered for the previous one.
                 machine.worker.silent.set(false);
                 machine.send_heartbeat(1);
             }
         });
     }
 
-    /// Tells the agent what the worker says of itself, if both are there.
+    /// Sends the worker's heartbeat to the agent, if both are running.
     fn send_heartbeat(&self, sequence: u64) {
         if self.worker.gone.get() || self.worker.silent.get() {
             return;
         }
         let instance = self.worker.instance.borrow().clone();
         if let Some(agent) = self.agent.borrow().as_ref() {
-            agent.host.heartbeat(self.account(instance, sequence));
-            self.told_devices.set(self.devices.get());
+            agent.host.heartbeat(self.make_heartbeat(instance, sequence));
+            self.reported_devices.set(self.devices.get());
         }
     }
 
-    fn account(&self, instance: String, sequence: u64) -> Heartbeat {
+    fn make_heartbeat(&self, instance: String, sequence: u64) -> Heartbeat {
         let leaves_in = self.leaves_at.get().map(|at| at.saturating_duration_since(Instant::now()));
         let draining = leaves_in.is_some();
         let record = WorkerRecord { draining, ..worker_record("", "r1", self.devices.get()) };
@@ -323,11 +332,11 @@
     }
 }
 
-/// A run at a life of a worker.
+/// A run at an incarnation of a worker.
 struct StartedRun {
     site: Rc<Site>,
     machine: Rc<Machine>,
-    life: u32,
+    incarnation: u32,
     task: TaskId,
     attempt: u32,
 }
@@ -349,22 +358,22 @@
         }
     }
 
-    fn goes_on(&self) -> bool {
+    fn is_running(&self) -> bool {
         let running = self.machine.worker.running();
-        self.machine.lives.get() == self.life
+        self.machine.incarnation.get() == self.incarnation
             && running.contains(&(self.task.clone(), self.attempt))
     }
 
     async fn end_after(&self, after: Duration) {
         sleep(after).await;
-        if self.goes_on() {
+        if self.is_running() {
             self.machine.worker.end(&self.task, self.attempt, EndReason::Done);
         }
     }
 
     async fn crash_after(&self, after: Duration, with_agent: bool) {
         sleep(after).await;
-        if !self.goes_on() {
+        if !self.is_running() {
             return;
         }
         self.site.crashes.borrow_mut().push((self.task.job.clone(), Instant::now()));
@@ -378,6 +387,6 @@
 async fn send_heartbeats(machine: Rc<Machine>) {
     for sequence in 1.. {
         machine.send_heartbeat(sequence);
-        sleep(HEARTBEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
--- a/crates/rampbay-jobs/tests/support/store.rs
+++ b/crates/rampbay-jobs/tests/support/store.rs
@@ -15,20 +15,20 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::Notify;
 
-/// What is wrong with the store.
+/// A fault of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
     /// Nothing.
     #[default]
     None,
-    /// Every call is turned away.
+    /// Every call is refused.
     Refuses,
-    /// Appends are done, and their answers are lost.
+    /// Appends are carried out, and their answers are lost.
     LosesAnswers,
 }
 
-/// What becomes of an append.
-enum Fate {
+/// How an append is answered.
+enum AppendOutcome {
     Answered,
     AnswerLost,
     Late(Duration),
@@ -42,7 +42,7 @@
     fence: Option<Fence>,
 }
 
-/// How long the joins of a process hang that the store is silent to.
+/// How long a join of the group of candidates takes for the process whose joins hang.
 const HANGING_JOIN: Duration = Duration::from_millis(2500);
 
 /// The store.
@@ -52,22 +52,22 @@
     first_kept: RefCell<BTreeMap<String, usize>>,
     epochs: RefCell<BTreeMap<String, (u64, u64)>>,
     appended: Notify,
-    /// What is wrong.
+    /// The current fault.
     pub fault: Cell<StoreFault>,
     /// How long every append takes.
     pub append_delay: Cell<Duration>,
     /// How long every answer to a read takes.
     pub read_delay: Cell<Duration>,
-    /// Who leads.
+    /// The process that leads, and its generation.
     pub leader: RefCell<Option<(String, u64)>>,
-    /// Whether leadership is dealt to each process that joins the group of candidates.
+    /// Whether each process that joins the group of candidates becomes the leader.
     pub elects_newcomers: Cell<bool>,
     candidates: RefCell<BTreeSet<String>>,
     /// Whether appends without a fence get no answer and aren't carried out yet.
     pub holds_appends: Cell<bool>,
     held: RefCell<Vec<(String, Vec<KeyedRecord>)>>,
     late_calls: RefCell<Vec<LateCall>>,
-    /// Draws how appends are answered, where some are carried out late.
+    /// Draws how appends are answered, if some are carried out late.
     pub late: RefCell<Option<ChaCha8Rng>>,
     /// A process whose joins hang for a while before they are carried out.
     pub hanging_candidate: RefCell<String>,
@@ -81,7 +81,7 @@
         Rc::new(Self::default())
     }
 
-    /// Lets the leader's place lapse.
+    /// Lets the leadership expire.
     pub fn expire_leader(&self) {
         if let Some((leader, _)) = self.leader.borrow_mut().take() {
             self.candidates.borrow_mut().remove(&leader);
@@ -137,13 +137,13 @@
         kept.len() as u64
     }
 
-    fn fate(&self) -> Fate {
+    fn draw_outcome(&self) -> AppendOutcome {
         let mut late = self.late.borrow_mut();
-        let Some(rng) = late.as_mut() else { return Fate::Answered };
+        let Some(rng) = late.as_mut() else { return AppendOutcome::Answered };
         match rng.random_range(0..100) {
-            0..6 => Fate::AnswerLost,
-            6..14 => Fate::Late(Duration::from_millis(rng.random_range(50..6000))),
-            _ => Fate::Answered,
+            0..6 => AppendOutcome::AnswerLost,
+            6..14 => AppendOutcome::Late(Duration::from_millis(rng.random_range(50..6000))),
+            _ => AppendOutcome::Answered,
         }
     }
 
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Carries out late appends when they are due, for ever.
+    /// Carries out late appends when they are due, forever.
     pub async fn apply_late(self: Rc<Self>) {
         loop {
             tokio::time::sleep(Duration::from_millis(3)).await;
@@ -207,14 +207,14 @@
             self.held.borrow_mut().push((topic.to_owned(), records.to_vec()));
             std::future::pending::<()>().await;
         }
-        match self.fate() {
-            Fate::Answered => {}
-            Fate::AnswerLost => {
+        match self.draw_outcome() {
+            AppendOutcome::Answered => {}
+            AppendOutcome::AnswerLost => {
                 let _ = self.carry_out(topic, records, fence);
                 tokio::time::sleep(Duration::from_millis(600)).await;
                 return Err(AppendError::Unknown);
             }
-            Fate::Late(after) => {
+            AppendOutcome::Late(after) => {
                 self.late_calls.borrow_mut().push(LateCall {
                     due: tokio::time::Instant::now() + after,
                     topic: topic.to_owned(),
