--- a/crates/rampbay-jobs/tests/ages.rs
+++ b/crates/rampbay-jobs/tests/ages.rs
@@ -1,5 +1,5 @@
-//! The age of a view against what the store had acknowledged: a view may be younger than it is taken to
-//! be, and never older.
+//! The age of a view, compared with what the store had acknowledged: a view may be more current than its
+//! age says, but never less.
 
 mod support;
 
@@ -27,15 +27,15 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// How a reader reads: as processes read the state.
+/// How a reader follows the log: as processes follow the state.
 const PACE: Pace = Pace { wait: Duration::from_millis(1000), gap: Duration::from_millis(25) };
 
-/// First key of the second part in which the newest records are told.
+/// First key of the second of the two parts in which the newest records are returned.
 const PAGE_END: &str = "m";
 /// Time between two parts.
 const PAGE_DELAY: Duration = Duration::from_millis(100);
 
-/// A log that knows when it has acknowledged each record. The value of a record is its offset.
+/// A log that stores when it acknowledged each record. The value of a record is its offset.
 #[derive(Default)]
 struct Log {
     records: RefCell<Vec<(KeyedRecord, Instant)>>,
@@ -71,7 +71,7 @@
         all.range(keys).map(|(_, record)| record.clone()).collect()
     }
 
-    async fn reaches_past(&self, from: Offset, wait: Duration) {
+    async fn wait_past(&self, from: Offset, wait: Duration) {
         let deadline = Instant::now() + wait;
         while self.end() <= from && Instant::now() < deadline {
             let appended = self.appended.notified();
@@ -80,12 +80,12 @@
     }
 }
 
-/// What a reader has taken in, by key.
-type Taken = Rc<RefCell<BTreeMap<String, KeyedRecord>>>;
+/// The records that a reader has applied, by key.
+type Applied = Rc<RefCell<BTreeMap<String, KeyedRecord>>>;
 
-struct TakenSink(Taken);
+struct AppliedSink(Applied);
 
-impl Sink for TakenSink {
+impl Sink for AppliedSink {
     fn reset(&mut self) {
         self.0.borrow_mut().clear();
     }
@@ -97,20 +97,20 @@
 
 /// A reader that follows a store.
 struct Reader {
-    taken: Taken,
+    applied: Applied,
     freshness: Rc<Freshness>,
     following: JoinHandle<()>,
 }
 
 impl Reader {
     fn start(store: Rc<dyn Store>) -> Self {
-        let (taken, freshness) = (Taken::default(), Rc::<Freshness>::default());
+        let (applied, freshness) = (Applied::default(), Rc::<Freshness>::default());
         freshness.keep_recent();
-        let (sink, followed) = (TakenSink(taken.clone()), Rc::clone(&freshness));
+        let (sink, followed) = (AppliedSink(applied.clone()), Rc::clone(&freshness));
         let following = tokio::task::spawn_local(async move {
             follow(store, STATE_TOPIC, PACE, followed, sink).await;
         });
-        Self { taken, freshness, following }
+        Self { applied, freshness, following }
     }
 
     /// Stops following for good: the view stays as it is.
@@ -118,15 +118,15 @@
         self.following.abort();
     }
 
-    /// Checks that all is there that the log had acknowledged as long ago as the view is old.
+    /// Checks that the view holds all that the log had acknowledged as long ago as the view is old.
     fn check(&self, log: &Log) {
         let Some(age) = self.freshness.age() else { return };
-        let taken = self.taken.borrow();
+        let applied = self.applied.borrow();
         for (record, acknowledged) in log.records.borrow().iter() {
             if acknowledged.elapsed() <= age {
                 continue;
             }
-            let held = taken.get(&record.key).map(|held| &held.value);
+            let held = applied.get(&record.key).map(|held| &held.value);
             assert!(
                 held >= Some(&record.value),
                 "a view of age {age:?} lacks a record that is {:?} old",
@@ -144,27 +144,27 @@
     }
 }
 
-/// A way to the log: no longer than its limit does it wait for a record, and its answers are late.
-struct Way {
+/// A store over the log that limits how long reads wait, and delays its answers.
+struct LogStore {
     log: Rc<Log>,
     wait_limit: Cell<Duration>,
     answer_delay: Cell<Duration>,
-    /// Most time that is added to each answer, and what draws it.
+    /// Maximum time that is added to each part of a call, and the generator that draws it.
     jitter: Cell<Duration>,
     rng: RefCell<ChaCha8Rng>,
-    /// Time between the two parts in which the newest records are told, and after them.
+    /// Time between the two parts in which the newest records are returned, and after them.
     page_delay: Cell<Duration>,
-    /// Where a view ends that isn't kept current any more, and when it was; reads go through it.
+    /// The end of a view that isn't kept current any more, and the time when it was current; reads return this view.
     stale_view: Cell<Option<(Offset, Instant)>>,
-    /// Most records of one answer.
-    most_records: Cell<usize>,
-    /// Whether the next read is told that its records are gone.
+    /// Maximum number of records in one answer.
+    max_records: Cell<usize>,
+    /// Whether the next read is answered that its records are gone.
     trims_next: Cell<bool>,
-    /// The fenced append whose answer was lost, and the answer: it is given to a repeat.
+    /// The fenced append whose answer was lost, and that answer, which a repeated append receives.
     first_answer: RefCell<Option<(Fence, Offset)>>,
 }
 
-impl Default for Way {
+impl Default for LogStore {
     fn default() -> Self {
         Self {
             log: Rc::default(),
@@ -174,16 +174,16 @@
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(0)),
             page_delay: Cell::default(),
             stale_view: Cell::default(),
-            most_records: Cell::new(usize::MAX),
+            max_records: Cell::new(usize::MAX),
             trims_next: Cell::default(),
             first_answer: RefCell::default(),
         }
     }
 }
 
-impl Way {
-    /// Takes the time that is drawn for a part of a call.
-    async fn dawdle(&self) {
+impl LogStore {
+    /// Waits for a random time, which a part of a call takes.
+    async fn random_delay(&self) {
         let share = self.rng.borrow_mut().random::<f64>();
         sleep(self.jitter.get().mul_f64(share)).await;
     }
@@ -196,7 +196,7 @@
 }
 
 #[async_trait(?Send)]
-impl Store for Way {
+impl Store for LogStore {
     async fn append(
         &self,
         _: &str,
@@ -222,15 +222,15 @@
             return Err(ReadError::Trimmed);
         }
         let sent = Instant::now();
-        self.dawdle().await;
+        self.random_delay().await;
         let wait = wait.min(self.wait_limit.get());
-        self.log.reaches_past(from, wait).await;
+        self.log.wait_past(from, wait).await;
         let (end, age) = self.view();
         let mut records = self.log.slice(from, end);
-        records.truncate(self.most_records.get());
+        records.truncate(self.max_records.get());
         let next = from + records.len() as Offset;
         sleep(self.answer_delay.get()).await;
-        self.dawdle().await;
+        self.random_delay().await;
         Ok(Batch { end, next, records, age, ..Batch::default() }.after_wait(sent, wait))
     }
 
@@ -238,7 +238,7 @@
         let read_from = self.log.end();
         let mut records = self.log.newest(..PAGE_END.to_owned());
         sleep(self.page_delay.get()).await;
-        self.dawdle().await;
+        self.random_delay().await;
         records.extend(self.log.newest(PAGE_END.to_owned()..));
         let end = self.log.end();
         sleep(self.page_delay.get()).await;
@@ -256,123 +256,125 @@
     }
 }
 
-/// Longest wait at a peer that passes records on.
-const AT_PEER: Duration = Duration::from_millis(400);
+/// Maximum wait at a peer that passes records on.
+const PEER_WAIT: Duration = Duration::from_millis(400);
 
-/// A way to the log through a peer that passes on what it has. Where the peer can't, a reload is due, and
-/// is made without it.
-struct Passing {
-    way: Way,
+/// A store that reads the log through a peer that passes records on. If the peer can't, a reload is required,
+/// which is made without the peer.
+struct PeerStore {
+    log_store: LogStore,
     peer: Rc<Freshness>,
     is_partial: Cell<bool>,
 }
 
 #[async_trait(?Send)]
-impl Layer for Passing {
+impl Layer for PeerStore {
     fn inner(&self) -> &dyn Store {
-        &self.way
+        &self.log_store
     }
 
     async fn read(&self, topic: &str, from: Offset, wait: Duration) -> Result<Batch, ReadError> {
         let sent = Instant::now();
-        let at_peer = wait.min(AT_PEER);
-        self.way.dawdle().await;
-        let passed = self.peer.pass_on(from, at_peer, None).await;
-        self.way.dawdle().await;
+        let peer_wait = wait.min(PEER_WAIT);
+        self.log_store.random_delay().await;
+        let passed = self.peer.pass_on(from, peer_wait, None).await;
+        self.log_store.random_delay().await;
         match passed {
             Ok(batch) => {
                 self.is_partial.set(true);
-                Ok(batch.after_wait(sent, at_peer))
+                Ok(batch.after_wait(sent, peer_wait))
             }
             Err(_) if self.is_partial.get() => Err(ReadError::Trimmed),
-            Err(_) => self.way.read(topic, from, wait).await,
+            Err(_) => self.log_store.read(topic, from, wait).await,
         }
     }
 
     async fn newest(&self, topic: &str) -> Result<Snapshot, ReadError> {
         self.is_partial.set(false);
-        self.way.newest(topic).await
+        self.log_store.newest(topic).await
     }
 }
 
-/// A way that waits less than it is asked to says nothing about the rest of the time, however late its
-/// answer comes.
+/// An empty answer of a store that waits less than requested says nothing about the rest of the time, however
+/// late the answer arrives.
 #[test]
 fn late_empty_answer_after_shorter_wait() {
     on_virtual_time(async {
-        let way = Rc::new(Way::default());
-        way.wait_limit.set(Duration::from_millis(400));
-        way.answer_delay.set(Duration::from_millis(700));
-        let log = Rc::clone(&way.log);
+        let log_store = Rc::new(LogStore::default());
+        log_store.wait_limit.set(Duration::from_millis(400));
+        log_store.answer_delay.set(Duration::from_millis(700));
+        let log = Rc::clone(&log_store.log);
         log.put("a");
-        let reader = Reader::start(way);
+        let reader = Reader::start(log_store);
         sleep(Duration::from_millis(500)).await;
         log.put("b");
         reader.check_for(&log, Duration::from_secs(5)).await;
-        assert_eq!(reader.freshness.position(), 2, "it does come in");
+        assert_eq!(reader.freshness.position(), 2, "the record arrives");
     });
 }
 
-/// What was written while the parts of a reload were read has to come from a view that shows it: one that
-/// ends before leaves the reader without it, and isn't as young as the call.
+/// Records that were written while the parts of a reload were read have to come from a view that includes
+/// them: a view that ends before leaves the reader without them, and isn't as current as the call.
 #[test]
 fn reload_through_stale_view() {
     on_virtual_time(async {
-        let way = Rc::new(Way::default());
-        let log = Rc::clone(&way.log);
+        let log_store = Rc::new(LogStore::default());
+        let log = Rc::clone(&log_store.log);
         ["a", "z"].iter().for_each(|key| log.put(key));
-        way.page_delay.set(PAGE_DELAY);
-        way.stale_view.set(Some((log.end(), Instant::now())));
-        let reader = Reader::start(way.clone());
+        log_store.page_delay.set(PAGE_DELAY);
+        log_store.stale_view.set(Some((log.end(), Instant::now())));
+        let reader = Reader::start(log_store.clone());
         sleep(PAGE_DELAY / 2).await;
         log.put("a");
         reader.check_for(&log, Duration::from_secs(2)).await;
-        way.stale_view.set(None);
+        log_store.stale_view.set(None);
         reader.check_for(&log, Duration::from_secs(2)).await;
-        assert_eq!(reader.freshness.position(), 3, "it does come in");
+        assert_eq!(reader.freshness.position(), 3, "the record arrives");
     });
 }
 
-/// A read that covers the parts of a reload, but ends before the log does, says nothing of the rest.
+/// A read that covers the parts of a reload, but ends before the log does, says nothing about the rest.
 #[test]
-fn reload_by_cut_read() {
+fn reload_by_truncated_read() {
     on_virtual_time(async {
-        let way = Rc::new(Way::default());
-        let log = Rc::clone(&way.log);
+        let log_store = Rc::new(LogStore::default());
+        let log = Rc::clone(&log_store.log);
         ["a", "z"].iter().for_each(|key| log.put(key));
-        way.page_delay.set(PAGE_DELAY);
-        way.most_records.set(2);
-        way.answer_delay.set(Duration::from_millis(20));
-        let reader = Reader::start(way);
+        log_store.page_delay.set(PAGE_DELAY);
+        log_store.max_records.set(2);
+        log_store.answer_delay.set(Duration::from_millis(20));
+        let reader = Reader::start(log_store);
         sleep(PAGE_DELAY / 2).await;
         log.put("a");
         sleep(PAGE_DELAY).await;
         ["b", "c", "d"].iter().for_each(|key| log.put(key));
         reader.check_for(&log, Duration::from_secs(2)).await;
-        assert_eq!(reader.freshness.position(), 6, "all come in");
+        assert_eq!(reader.freshness.position(), 6, "all records arrive");
     });
 }
 
-/// A process appends while it reloads: what it has taken in already stays, and the view is as old as the
-/// records that it was made of.
+/// A process appends while it reloads: the records that it has applied already stay, and the view is as old
+/// as the records that it was built from.
 #[test]
 fn reload_keeps_own_append() {
     on_virtual_time(async {
-        let way = Rc::new(Way::default());
-        way.log
+        let log_store = Rc::new(LogStore::default());
+        log_store
+            .log
             .push(Record::Worker("i-1".to_owned(), Box::new(worker_record("a", "r", 8))).encode());
         let live = LiveTable::default();
-        let store: Rc<dyn Store> = Rc::new(ReadYourWritesStore::new(way.clone(), live.clone()));
+        let store: Rc<dyn Store> =
+            Rc::new(ReadYourWritesStore::new(log_store.clone(), live.clone()));
         tokio::task::spawn_local(live.clone().follow(Rc::clone(&store), PACE));
         sleep(PACE.wait / 2).await;
-        way.page_delay.set(PAGE_DELAY);
-        way.answer_delay.set(Duration::from_millis(20));
-        way.trims_next.set(true);
-        // The read that is under way ends, and the last part of the reload has been read.
+        log_store.page_delay.set(PAGE_DELAY);
+        log_store.answer_delay.set(Duration::from_millis(20));
+        log_store.trims_next.set(true);
+        // Until the pending read has ended, and the last part of the reload has been read.
         sleep(PACE.wait / 2 + PAGE_DELAY * 2).await;
         let other = Record::Worker("i-2".to_owned(), Box::new(worker_record("b", "r", 8)));
         let end = store.append(STATE_TOPIC, &[other.encode()], None).await.expect("an end");
-        assert_eq!(live.freshness.position(), end, "it is taken in at once");
+        assert_eq!(live.freshness.position(), end, "it is applied at once");
         for _ in 0..100 {
             assert_eq!(live.freshness.position(), end);
             assert!(live.table.borrow().workers.contains_key("i-2"), "it is gone again");
@@ -381,19 +383,19 @@
     });
 }
 
-/// A peer that hasn't run for a while tells the age as of its answer, not as of the call.
+/// A peer that was stopped for a while gives the age as of its answer, not as of the call.
 #[test]
 fn pass_on_after_stop() {
     on_virtual_time(async {
-        let way = Rc::new(Way::default());
-        way.log.put("a");
-        let peer = Reader::start(way);
+        let log_store = Rc::new(LogStore::default());
+        log_store.log.put("a");
+        let peer = Reader::start(log_store);
         sleep(Duration::from_millis(100)).await;
         peer.stop();
         let followed = Rc::clone(&peer.freshness);
-        let call = async move { followed.pass_on(1, AT_PEER, None).await };
+        let call = async move { followed.pass_on(1, PEER_WAIT, None).await };
         let call = tokio::task::spawn_local(call);
-        sleep(AT_PEER / 2).await;
+        sleep(PEER_WAIT / 2).await;
         tokio::time::advance(Duration::from_secs(5)).await;
         let batch = call.await.expect("no panic").expect("an answer");
         assert!(batch.records.is_empty());
@@ -402,8 +404,8 @@
     });
 }
 
-/// Whatever a read through a peer takes on its way there, at the peer and on its way back, and whatever
-/// the peer's own reads take: no view of the chain is older than it says.
+/// However long a read through a peer takes to the peer, at the peer and back, and however long the peer's
+/// own reads take, no view of the chain is older than its age says.
 #[rstest]
 #[case::quick(5)]
 #[case::slow(300)]
@@ -411,19 +413,20 @@
 fn chain_of_late_answers(#[case] jitter_ms: u64, #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     on_virtual_time(async move {
         let log = Rc::new(Log::default());
-        let way = |salt| Way {
+        let log_store = |salt| LogStore {
             log: Rc::clone(&log),
             jitter: Cell::new(Duration::from_millis(jitter_ms)),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed * 10 + salt)),
             page_delay: Cell::new(PAGE_DELAY),
-            most_records: Cell::new(3),
-            ..Way::default()
+            max_records: Cell::new(3),
+            ..LogStore::default()
         };
-        let own_way = Rc::new(way(1));
-        let peer = Reader::start(own_way.clone());
+        let own_store = Rc::new(log_store(1));
+        let peer = Reader::start(own_store.clone());
         let followed = Rc::clone(&peer.freshness);
-        let passing = Passing { way: way(2), peer: followed, is_partial: Cell::new(false) };
-        let reader = Reader::start(Rc::new(passing));
+        let peer_store =
+            PeerStore { log_store: log_store(2), peer: followed, is_partial: Cell::new(false) };
+        let reader = Reader::start(Rc::new(peer_store));
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         for _ in 0..200 {
             let pause = if rng.random_bool(0.1) { 3000 } else { 100 };
@@ -436,24 +439,25 @@
             }
             let key = ["a", "b", "y", "z"][rng.random_range(0..4)];
             log.put(key);
-            own_way.trims_next.set(rng.random_bool(0.05));
+            own_store.trims_next.set(rng.random_bool(0.05));
         }
         sleep(Duration::from_secs(600)).await;
         assert_eq!((peer.freshness.position(), reader.freshness.position()), (200, 200));
     });
 }
 
-/// A repeated append gets its first answer again, which says nothing about what came after the first.
+/// A repeated append gets its first answer again, which says nothing about records appended after the first.
 #[test]
 fn own_append_answered_again() {
     on_virtual_time(async {
-        let way = Rc::new(Way::default());
+        let log_store = Rc::new(LogStore::default());
         let worker = |name: &str| {
             Record::Worker(name.to_owned(), Box::new(worker_record(name, "r", 8))).encode()
         };
-        way.log.push(worker("i-1"));
+        log_store.log.push(worker("i-1"));
         let live = LiveTable::default();
-        let store: Rc<dyn Store> = Rc::new(ReadYourWritesStore::new(way.clone(), live.clone()));
+        let store: Rc<dyn Store> =
+            Rc::new(ReadYourWritesStore::new(log_store.clone(), live.clone()));
         let follower = tokio::task::spawn_local(live.clone().follow(Rc::clone(&store), PACE));
         sleep(Duration::from_millis(50)).await;
         follower.abort();
@@ -462,11 +466,11 @@
         let append = || store.append(STATE_TOPIC, std::slice::from_ref(&own), Some(&fence));
         assert_eq!(append().await, Err(AppendError::Unknown));
         sleep(Duration::from_millis(50)).await;
-        way.log.push(worker("i-3"));
+        log_store.log.push(worker("i-3"));
         let acknowledged = Instant::now();
         sleep(Duration::from_secs(2)).await;
         assert_eq!(append().await, Ok(2));
-        assert!(live.table.borrow().workers.contains_key("i-2"), "it is taken in at once");
+        assert!(live.table.borrow().workers.contains_key("i-2"), "it is applied at once");
         assert!(!live.table.borrow().workers.contains_key("i-3"));
         assert!(live.freshness.age() > Some(acknowledged.elapsed()), "{:?}", live.freshness.age());
     });
--- a/crates/rampbay-jobs/tests/cancels.rs
+++ b/crates/rampbay-jobs/tests/cancels.rs
@@ -18,12 +18,12 @@
 
 const JOB: &str = "00000000000000aa";
 /// How long callers wait.
-const PATIENCE: Duration = Duration::from_millis(2000);
-/// How late an entry's reads of the store are; less than the age up to which a table may say that there
-/// is no such job.
-const LATENESS: Duration = Duration::from_millis(700);
+const CALLER_WAIT: Duration = Duration::from_millis(2000);
+/// Delay of an entry's reads of the store; less than the maximum age of a table by which a job is reported
+/// as unknown.
+const READ_DELAY: Duration = Duration::from_millis(700);
 
-/// An intake whose table is followed.
+/// Creates an intake whose table is kept current.
 fn intake(store: &Rc<MemoryStore>) -> Intake {
     let shared: Rc<dyn Store> = store.clone();
     let live = LiveTable::default();
@@ -41,18 +41,18 @@
 }
 
 async fn cancel(intake: &Intake) -> Result<(), Refusal> {
-    intake.cancel(&JobId::from(JOB), intake.wait_budget(Some(PATIENCE))).await
+    intake.cancel(&JobId::from(JOB), intake.wait_budget(Some(CALLER_WAIT))).await
 }
 
-/// Another entry has accepted the job a moment ago: saying that there is none would acknowledge the
-/// cancellation, and the job would run on.
+/// Another entry has accepted the job a moment ago: the answer that there is no such job would acknowledge
+/// the cancellation, and the job would run on.
 #[test]
 fn cancel_job_just_accepted_elsewhere_kept() {
     on_virtual_time(async {
         let store = MemoryStore::new();
         let intake = intake(&store);
         sleep(Duration::from_millis(100)).await;
-        store.read_delay.set(LATENESS);
+        store.read_delay.set(READ_DELAY);
         store.put(&Record::Submitted(Box::new(job(JOB, 1, step(1, 1)))));
         sleep(Duration::from_millis(100)).await;
         assert_eq!(cancel(&intake).await, Ok(()));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn cancel_job_unknown_told_in_time() {
+fn cancel_job_unknown_answered_in_time() {
     on_virtual_time(async {
         let store = MemoryStore::new();
         let intake = intake(&store);
@@ -72,9 +72,9 @@
     });
 }
 
-/// While the store is away nobody knows whether there is such a job.
+/// While the store is unreachable, it isn't known whether there is such a job.
 #[test]
-fn cancel_store_away_not_current() {
+fn cancel_store_unreachable_not_current() {
     on_virtual_time(async {
         let store = MemoryStore::new();
         let intake = intake(&store);
--- a/crates/rampbay-jobs/tests/foreign_records.rs
+++ b/crates/rampbay-jobs/tests/foreign_records.rs
@@ -1,4 +1,4 @@
-//! Records of another writer in the topic of the state: each costs only itself.
+//! Records of another writer in the topic of the state: each is skipped, and affects no other record.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use support::{job, property, running_plan, step, task, worker_record};
 
 const JOB: &str = "00000000000000aa";
-/// How the keys of the state start.
+/// Prefixes of the keys of the state.
 const KINDS: [&str; 13] = [
     "job/", "cancel/", "plan/", "end/", "refusal/", "worker/", "over/", "evicted/", "life/",
     "losses/", "member/", "part/", "",
@@ -40,26 +40,26 @@
 #[case::plan_of_ones("plan/00000000000000aa", &[1; 40])]
 #[case::drained_of_ones("drained", &[0xff; 12])]
 #[case::losses_of_zeros("losses/00000000000000aa", &[0; 5])]
-fn unreadable_record_passed_over(#[case] key: &str, #[case] value: &[u8]) {
+fn unreadable_record_skipped(#[case] key: &str, #[case] value: &[u8]) {
     let mut table = table();
     table.apply(&KeyedRecord { key: key.to_owned(), value: value.to_vec() });
     assert_unchanged(&table);
 }
 
-/// Bytes that read like a record of something else than their key names.
+/// Bytes that decode to a record that belongs under another key.
 #[rstest]
 #[case::cancellation_as_worker("worker/i-1/9", &Record::Cancelled(JOB.to_owned()))]
 #[case::cancellation_of_another_job("cancel/00000000000000bb", &Record::Cancelled(JOB.to_owned()))]
 #[case::eviction_of_another_worker("evicted/i-7", &Record::Evicted("i-1".to_owned()))]
 #[case::end_of_registrations_elsewhere("over/i-7", &Record::Over("i-1".to_owned(), 99))]
 #[case::numbered_like_a_registration("over/i-1/3", &Record::Over("i-1".to_owned(), 99))]
-fn misplaced_record_passed_over(#[case] key: &str, #[case] record: &Record) {
+fn misplaced_record_skipped(#[case] key: &str, #[case] record: &Record) {
     let mut table = table();
     table.apply(&KeyedRecord { key: key.to_owned(), value: record.encode().value });
     assert_unchanged(&table);
 }
 
-/// Registrations and refusals stand under keys with a number besides.
+/// Registrations and refusals are kept under keys that end with a number.
 #[test]
 fn numbered_records_read() {
     let mut table = table();
@@ -84,7 +84,7 @@
 proptest! {
     #![proptest_config(property::config(2000))]
 
-    /// Whatever bytes stand under whatever key, nothing panics, and what is taken in is a record of just that key.
+    /// Whatever bytes are under whatever key, nothing panics, and a record that is decoded belongs under that key.
     #[test]
     fn any_bytes_under_any_key_read(
         kind in prop::sample::select(KINDS.to_vec()),
@@ -100,7 +100,7 @@
         table().apply(&record);
     }
 
-    /// The same for records of ours with a byte changed, cut short or longer.
+    /// Records of the system with a byte changed, truncated or extended cause no panic either.
     #[test]
     fn any_change_of_a_record_read(at in 0_usize..200, byte in any::<u8>(), length in 0_usize..220) {
         let plan = running_plan(3, "i-1", 1);
--- a/crates/rampbay-jobs/tests/gaps.rs
+++ b/crates/rampbay-jobs/tests/gaps.rs
@@ -1,7 +1,7 @@
-//! An agent whose view has a gap, while the state can't be read as a whole.
+//! An agent whose view has a gap, while the state can't be read in full.
 //!
-//! Found in a review: it followed nothing until it could, and what ran at its worker lapsed, though its peer still passed on all
-//! that came.
+//! The fault, found in a review: the agent followed nothing until it could read the state, and the leases of its worker's runs
+//! expired, though its peer still passed new records on.
 
 mod support;
 
@@ -24,18 +24,18 @@
 const SECOND: &str = "00000000000000bb";
 const WORKER: &str = "i-1";
 /// More than an agent takes to start or to stop a run.
-const ACTS: Duration = Duration::from_millis(800);
-/// More than an agent renews leases for without news, and than these last.
-const LAPSES: Duration = Duration::from_secs(20);
+const ACTION_TIME: Duration = Duration::from_millis(800);
+/// Longer than an agent renews leases without news from the store, and than these leases last.
+const EXPIRY_TIME: Duration = Duration::from_secs(20);
 
-/// An entry that passes accounts on without their jobs, and from some time on can't prove the state as a whole.
-struct WithoutJobs {
+/// An entry that passes plans on without their jobs, and from some time on can't be read in full.
+struct EntryWithoutJobs {
     entry: Rc<EntryRelayedStore>,
     has_snapshots: Cell<bool>,
 }
 
 #[async_trait(?Send)]
-impl Layer for WithoutJobs {
+impl Layer for EntryWithoutJobs {
     fn inner(&self) -> &dyn Store {
         self.entry.as_ref()
     }
@@ -55,7 +55,7 @@
     }
 }
 
-/// The run that the agent has goes on, whatever else it lacks: its peer still passes on what comes.
+/// The run that the agent knows of goes on, whatever its view lacks: its peer still passes new records on.
 #[rstest]
 #[case::no_gap(false)]
 #[case::gap(true)]
@@ -64,18 +64,18 @@
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         let entry = EntryRelayedStore::start(&store);
-        let ways = Rc::new(WithoutJobs { entry, has_snapshots: Cell::new(true) });
-        sleep(ACTS).await;
-        let rig = AgentRig::start_with_store(store, ways.clone(), FakeWorker::new(WORKER));
+        let shared = Rc::new(EntryWithoutJobs { entry, has_snapshots: Cell::new(true) });
+        sleep(ACTION_TIME).await;
+        let rig = AgentRig::start_with_store(store, shared.clone(), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(ACTS).await;
+        sleep(ACTION_TIME).await;
         assert_eq!(rig.worker.running(), vec![(task(JOB, 0), 1)]);
-        ways.has_snapshots.set(false);
+        shared.has_snapshots.set(false);
         if has_gap {
             rig.store.put(&Record::Submitted(Box::new(job(SECOND, 1, step(1, 1)))));
             rig.store.put(&Record::Plan(SECOND.to_owned(), Box::new(running_plan(1, WORKER, 1))));
         }
-        sleep(LAPSES).await;
+        sleep(EXPIRY_TIME).await;
         assert_eq!(rig.worker.running(), vec![(task(JOB, 0), 1)]);
     });
 }
--- a/crates/rampbay-jobs/tests/intake.rs
+++ b/crates/rampbay-jobs/tests/intake.rs
@@ -18,8 +18,8 @@
 
 const JOB: &str = "00000000000000aa";
 
-/// How long callers wait where nothing else matters.
-const PATIENCE: Duration = Duration::from_millis(1000);
+/// How long callers wait, where the test doesn't depend on it.
+const CALLER_WAIT: Duration = Duration::from_millis(1000);
 
 #[rstest]
 #[case::public("host", "/open/x", None, Ok("open"))]
@@ -38,24 +38,24 @@
     on_virtual_time(async move {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
-        let patience = rig.intake.wait_budget(None);
-        let admitted = rig.intake.admit(CallTarget { host, path, key }, patience).await;
+        let budget = rig.intake.wait_budget(None);
+        let admitted = rig.intake.admit(CallTarget { host, path, key }, budget).await;
         assert_eq!(admitted.map(|admission| admission.queue.name), expected.map(str::to_owned));
     });
 }
 
-/// A removed key may be in use as long as the configuration isn't known to be current.
+/// As long as the configuration isn't known to be current, a key may have been removed.
 #[test]
-fn old_configuration_nobody_admitted() {
+fn old_configuration_admits_no_caller() {
     on_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         rig.store.fault.set(StoreFault::Refuses);
         sleep(Duration::from_millis(4000)).await;
-        assert_eq!(rig.admit(PATIENCE).await.err(), Some(Refusal::NotCurrent));
+        assert_eq!(rig.admit(CALLER_WAIT).await.err(), Some(Refusal::NotCurrent));
         rig.store.fault.set(StoreFault::None);
         sleep(Duration::from_millis(1000)).await;
-        assert!(rig.admit(PATIENCE).await.is_ok());
+        assert!(rig.admit(CALLER_WAIT).await.is_ok());
     });
 }
 
@@ -69,67 +69,67 @@
 }
 
 #[rstest]
-#[case::sound(StoreFault::None, Ok(()))]
-#[case::turned_away(StoreFault::Refuses, Err(Refusal::Unavailable))]
+#[case::no_fault(StoreFault::None, Ok(()))]
+#[case::refused(StoreFault::Refuses, Err(Refusal::Unavailable))]
 #[case::answer_lost(StoreFault::LosesAnswers, Err(Refusal::Unknown))]
-fn submission(#[case] trouble: StoreFault, #[case] expected: Result<(), Refusal>) {
+fn submission(#[case] fault: StoreFault, #[case] expected: Result<(), Refusal>) {
     on_virtual_time(async move {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
-        rig.store.fault.set(trouble);
-        assert_eq!(rig.submit(job(JOB, 1, step(1, 1)), PATIENCE).await, expected);
-        let kept = table_of(&rig.store).jobs.contains_key(JOB);
-        assert_eq!(kept, trouble != StoreFault::Refuses, "a refusal says that nothing was kept");
+        rig.store.fault.set(fault);
+        assert_eq!(rig.submit(job(JOB, 1, step(1, 1)), CALLER_WAIT).await, expected);
+        let stored = table_of(&rig.store).jobs.contains_key(JOB);
+        assert_eq!(stored, fault != StoreFault::Refuses, "a refusal says that nothing was stored");
     });
 }
 
-/// A store that doesn't answer isn't waited for longer than the limit.
+/// A call doesn't wait longer than its limit for a store that doesn't answer.
 #[test]
-fn silent_store_answered_in_time() {
+fn silent_store_caller_answered_in_time() {
     on_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         rig.store.append_delay.set(Duration::from_secs(60));
         let started = Instant::now();
-        let outcome = rig.submit(job(JOB, 1, step(1, 1)), PATIENCE).await;
+        let outcome = rig.submit(job(JOB, 1, step(1, 1)), CALLER_WAIT).await;
         assert_eq!(outcome, Err(Refusal::Unknown));
-        assert!(started.elapsed() < PATIENCE, "the answer still reaches the caller");
+        assert!(started.elapsed() < CALLER_WAIT, "the answer still reaches the caller");
     });
 }
 
-/// Submits a job as a caller does who waits three seconds in all, and comes back when told to.
-async fn submit_and_come_back(rig: &IntakeRig) -> Result<(), Refusal> {
+/// Submits a job like a caller who waits three seconds in all, and retries when told to.
+async fn submit_with_retries(rig: &IntakeRig) -> Result<(), Refusal> {
     let end = Instant::now() + Duration::from_millis(3000);
     loop {
         let outcome = rig.submit(job(JOB, 1, step(1, 1)), end - Instant::now()).await;
-        let back = Instant::now() + Duration::from_millis(1000);
-        if outcome.is_ok() || back >= end {
+        let retry_at = Instant::now() + Duration::from_millis(1000);
+        if outcome.is_ok() || retry_at >= end {
             return outcome;
         }
         sleep(Duration::from_millis(1000)).await;
     }
 }
 
-/// Seen on the bench: a store that was silent for four seconds refused callers who had time left
-/// for it to come back.
+/// Seen on the test bench: while the store was silent for four seconds, callers were refused who had
+/// enough time left to wait until it answered again.
 #[rstest]
 #[case::refused(StoreFault::Refuses)]
 #[case::answers_lost(StoreFault::LosesAnswers)]
-fn outage_within_callers_time_kept(#[case] trouble: StoreFault) {
+fn outage_within_callers_time_job_stored(#[case] fault: StoreFault) {
     on_virtual_time(async move {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
-        rig.store.fault.set(trouble);
+        rig.store.fault.set(fault);
         let store = Rc::clone(&rig.store);
         tokio::task::spawn_local(async move {
             sleep(Duration::from_millis(2800)).await;
             store.fault.set(StoreFault::None);
         });
-        assert_eq!(submit_and_come_back(&rig).await, Ok(()));
+        assert_eq!(submit_with_retries(&rig).await, Ok(()));
     });
 }
 
-/// Whoever waits for a current configuration is answered by the one that is then in force.
+/// A call that waits for a current configuration is answered by the one that is then in force.
 #[test]
 fn outage_within_callers_time_admitted() {
     on_virtual_time(async {
@@ -144,14 +144,14 @@
         });
         let started = Instant::now();
         assert!(rig.admit(Duration::from_millis(1200)).await.is_ok());
-        assert!(started.elapsed() < Duration::from_millis(1500), "told as soon as it is current");
+        assert!(started.elapsed() < Duration::from_millis(1500), "admitted once it is current");
     });
 }
 
-/// A caller who can come back is told so at once while the store is known to be away, and truly:
-/// nothing was sent.
+/// While the store is known to be unreachable, a caller who can retry is told so at once, and nothing
+/// is sent to the store.
 #[test]
-fn store_away_caller_told_to_come_back() {
+fn store_unreachable_caller_told_to_retry() {
     on_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
@@ -176,27 +176,27 @@
         rig.store.fault.set(StoreFault::Refuses);
         for _ in 0..2 {
             let rig = Rc::clone(&rig);
-            tokio::task::spawn_local(
-                async move { rig.submit(job(JOB, 1, step(1, 1)), PATIENCE).await },
-            );
+            tokio::task::spawn_local(async move {
+                rig.submit(job(JOB, 1, step(1, 1)), CALLER_WAIT).await
+            });
         }
         sleep(Duration::from_millis(10)).await;
         let started = Instant::now();
-        let outcome = rig.submit(job(JOB, 1, step(1, 1)), PATIENCE).await;
+        let outcome = rig.submit(job(JOB, 1, step(1, 1)), CALLER_WAIT).await;
         assert_eq!(outcome, Err(Refusal::Unavailable));
         assert!(started.elapsed() < Duration::from_millis(1));
-        sleep(PATIENCE).await;
-        assert!(rig.admit(PATIENCE).await.is_ok(), "a call that has ended doesn't count");
+        sleep(CALLER_WAIT).await;
+        assert!(rig.admit(CALLER_WAIT).await.is_ok(), "a call that has ended doesn't count");
     });
 }
 
 #[test]
-fn submission_again_stays_one_job() {
+fn repeated_submission_stays_one_job() {
     on_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         for count in 1..3 {
-            rig.submit(job(JOB, 1, step(count, 1)), PATIENCE).await.expect("accepted");
+            rig.submit(job(JOB, 1, step(count, 1)), CALLER_WAIT).await.expect("accepted");
             sleep(Duration::from_millis(50)).await;
         }
         let table = rig.live.table.borrow();
@@ -222,7 +222,7 @@
     on_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
-        rig.submit(job(JOB, 1, step(1, 1)), PATIENCE).await.expect("accepted");
+        rig.submit(job(JOB, 1, step(1, 1)), CALLER_WAIT).await.expect("accepted");
         sleep(Duration::from_millis(50)).await;
         assert_eq!(rig.intake.pending("queue-1"), Ok(1));
         rig.intake.cancel(&JOB.to_owned(), rig.intake.wait_budget(None)).await.expect("cancelled");
@@ -245,7 +245,7 @@
     });
 }
 
-/// A leader that was replaced without hearing of it writes nothing more.
+/// A leader that was replaced and hasn't learned of it writes nothing more.
 #[test]
 fn replaced_leader_fenced() {
     on_virtual_time(async {
@@ -273,9 +273,9 @@
     });
 }
 
-/// What a leader decides while the store loses answers is kept once.
+/// A decision that a leader makes while the store loses answers is stored once.
 #[test]
-fn lost_answers_decision_kept_once() {
+fn lost_answers_decision_stored_once() {
     on_virtual_time(async {
         let store = MemoryStore::new();
         store.put(&Record::Worker("i-1".to_owned(), Box::new(worker_record("side-1", "r1", 8))));
@@ -293,7 +293,7 @@
 
 /// A follower whose history was dropped reads the newest records and goes on.
 #[test]
-fn history_dropped_table_whole() {
+fn history_dropped_table_complete() {
     on_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
--- a/crates/rampbay-jobs/tests/late_writes.rs
+++ b/crates/rampbay-jobs/tests/late_writes.rs
@@ -1,14 +1,13 @@
-//! A task that ran twice: writes that land late, and what their absence seems to prove.
+//! Writes that are carried out late, by which a task ran twice.
 //!
-//! Seen: a task had runs at two workers at once. The first was never stopped, ended well, and its end was kept;
-//! once all runs of one worker were given up at the same moment.
+//! The failure: a task had runs at two workers at once. The first was never stopped and succeeded, and its end was
+//! stored; in one case all runs of a worker were given up at the same moment.
 //!
-//! How it came about: a call without answer may be carried out seconds later, and a process that is stopped holds
-//! its calls back, while the same records have long gone another way. An agent's late removal of its worker's
-//! registration, or its late refusal of a run, then undid what had been written since. Nothing in the record said
-//! to which registration it belonged, and a worker without a registration is taken to run nothing.
-//!
-//! What proved it: these cases, each of which gave a run up while it went on.
+//! The cause: a call that got no answer may be carried out seconds later, and a process that is stopped holds its calls
+//! back, while the same records have long been written by another path. An agent's late removal of its worker's
+//! registration, or its late refusal of a run, then undid what had been written since. Nothing in the record said to
+//! which registration it belonged, and a worker without a registration is assumed to run nothing. Each of these cases
+//! gave a run up while it went on.
 
 mod support;
 
@@ -36,11 +35,11 @@
 /// A worker where a run that is given up would start again.
 const OTHER: &str = "i-9";
 /// More than an agent and a leader take to start a job.
-const STARTS: Duration = Duration::from_millis(1500);
+const START_TIME: Duration = Duration::from_millis(1500);
 /// More than a leader takes to give a run up and to assign it elsewhere, less than an eviction.
-const SETTLES: Duration = Duration::from_millis(1000);
+const SETTLE_TIME: Duration = Duration::from_millis(1000);
 /// Longer than a silent worker's leases last.
-const LAPSES: Duration = Duration::from_secs(12);
+const EXPIRY_TIME: Duration = Duration::from_secs(12);
 
 fn assert_runs_once(rig: &AgentRig) {
     let plan = plan_of(&rig.store, JOB);
@@ -57,67 +56,67 @@
     store.put(&Record::Worker(OTHER.to_owned(), record));
 }
 
-/// Starts an agent whose worker was silent until its life was ended, is heard again and has a run. Returns it with
-/// the offsets of what was written about the end of its life.
+/// Starts an agent whose worker was silent until the worker's incarnation was ended, answers again and has a run.
+/// Returns the agent, and the range of offsets of the records that were written about that end.
 async fn returned_worker() -> (AgentRig, usize, usize) {
-    returned_worker_of(|store| store.clone()).await
+    returned_worker_through(|store| store.clone()).await
 }
 
-/// The same, with the agent's way to the store.
-async fn returned_worker_of(
-    way: impl Fn(&Rc<MemoryStore>) -> Rc<dyn Store>,
+/// Does the same as [`returned_worker`], for an agent that reaches the store through a layer.
+async fn returned_worker_through(
+    layer: impl Fn(&Rc<MemoryStore>) -> Rc<dyn Store>,
 ) -> (AgentRig, usize, usize) {
     let store = MemoryStore::new();
-    let shared = way(&store);
+    let shared = layer(&store);
     sleep(Duration::from_millis(100)).await;
     let rig = AgentRig::start_with_store(store, shared, FakeWorker::new(WORKER));
     rig.heartbeat(WORKER, 1);
-    sleep(STARTS).await;
+    sleep(START_TIME).await;
     let from = rig.store.all(STATE_TOPIC).len();
     rig.worker.silent.set(true);
-    sleep(LAPSES).await;
+    sleep(EXPIRY_TIME).await;
     let to = rig.store.all(STATE_TOPIC).len();
     assert!(to > from && table_of(&rig.store).workers.is_empty());
     rig.worker.silent.set(false);
     rig.heartbeat(WORKER, 2);
-    sleep(STARTS).await;
+    sleep(START_TIME).await;
     start_leader(&rig.store, "entry-1", 1, None);
     submit(&rig.store);
-    sleep(STARTS).await;
+    sleep(START_TIME).await;
     assert_runs_once(&rig);
     (rig, from, to)
 }
 
 #[test]
-fn late_removal_gives_no_run_of_returned_worker_up() {
+fn late_removal_keeps_run_of_returned_worker() {
     on_virtual_time(async {
         let (rig, from, to) = returned_worker().await;
         add_other_worker(&rig.store);
         rig.store.apply_again(from, to);
-        sleep(SETTLES).await;
+        sleep(SETTLE_TIME).await;
         assert_runs_once(&rig);
     });
 }
 
-/// The agent ends with a removal, or a refusal, still on its way; its successor starts the run.
+/// The agent's process ends while its removal or its refusal hasn't been carried out; the next process starts the run.
 #[rstest]
 #[case::removal(true)]
 #[case::refusal(false)]
-fn late_write_of_predecessor_gives_no_run_up(#[case] removal: bool) {
+fn late_write_of_predecessor_keeps_run(#[case] removal: bool) {
     on_virtual_time(async move {
         let rig = AgentRig::start(MemoryStore::new(), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         let store = Rc::clone(&rig.store);
         store.holds_appends.set(true);
         if removal {
             rig.worker.silent.set(true);
-            sleep(LAPSES).await;
+            sleep(EXPIRY_TIME).await;
         } else {
             rig.worker.start_fault.set(StartFault::Unhealthy);
             start_leader(&store, "entry-1", 1, None);
             submit(&store);
-            sleep(STARTS).await;
+            sleep(START_TIME).await;
             rig.worker.start_fault.set(StartFault::None);
         }
         let worker = Rc::clone(&rig.worker);
@@ -126,22 +125,23 @@
         store.holds_appends.set(false);
         let rig = AgentRig::start(Rc::clone(&store), worker);
         rig.heartbeat(WORKER, 9);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         if removal {
             start_leader(&store, "entry-1", 1, None);
             submit(&store);
-            sleep(STARTS).await;
+            sleep(START_TIME).await;
         }
         assert_runs_once(&rig);
         add_other_worker(&store);
         store.apply_held();
-        sleep(SETTLES).await;
+        sleep(SETTLE_TIME).await;
         assert_runs_once(&rig);
     });
 }
 
-/// A worker that comes back after its registration was gone isn't given what was assigned to it before: the
-/// decision that starts it elsewhere may be on its way. It isn't registered before that decision is kept.
+/// A worker that returns after its registration was gone isn't given the run that was assigned to it before: the
+/// decision that starts the run elsewhere may be on its way. The worker isn't registered before that decision is
+/// stored.
 #[test]
 fn run_assigned_before_return_not_started() {
     on_virtual_time(async {
@@ -150,18 +150,18 @@
         store.put(&Record::Plan(JOB.to_owned(), Box::new(running_plan(1, WORKER, 1))));
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         assert_eq!(rig.worker.starts(), vec![]);
-        assert!(table_of(&store).workers.is_empty(), "an account names it still");
+        assert!(table_of(&store).workers.is_empty(), "a plan still names it");
         start_leader(&store, "entry-1", 1, None);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         assert_eq!(rig.worker.starts(), vec![(task(JOB, 0), 2)], "given up, then assigned anew");
     });
 }
 
-/// A run that was reported as never started shows up at the worker all the same.
+/// A run that was reported as never started appears at the worker nevertheless.
 #[test]
-fn refused_run_that_shows_up_stopped() {
+fn refused_run_that_appears_stopped() {
     on_virtual_time(async {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
@@ -169,7 +169,7 @@
         worker.start_fault.set(StartFault::Unhealthy);
         let rig = AgentRig::start(Rc::clone(&store), worker);
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         rig.worker.start_without_agent(&task(JOB, 0), 1);
         assert_eq!(rig.worker.running().len(), 1);
         sleep(Duration::from_secs(4)).await;
@@ -177,7 +177,8 @@
     });
 }
 
-/// The same for a process that starts again just as the worker has come back.
+/// A run that was assigned before the worker returned isn't started either by an agent process that starts just as the
+/// worker has returned.
 #[test]
 fn run_assigned_before_return_not_started_by_successor() {
     on_virtual_time(async {
@@ -192,15 +193,15 @@
         rig.kill();
         let rig = AgentRig::start(Rc::clone(&store), worker);
         rig.heartbeat(WORKER, 2);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         store.put(&Record::Plan(JOB.to_owned(), Box::new(running_plan(1, OTHER, 2))));
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         assert_eq!(rig.worker.starts(), vec![]);
-        assert!(table_of(&store).workers.contains_key(WORKER), "no account names it any more");
+        assert!(table_of(&store).workers.contains_key(WORKER), "no plan names it any more");
     });
 }
 
-/// A life that registers anew, after an eviction, stands by what it has refused before.
+/// An incarnation that registers again after an eviction doesn't take back its earlier refusal of a run.
 #[test]
 fn refusal_before_return_from_eviction_kept() {
     on_virtual_time(async {
@@ -210,10 +211,10 @@
         worker.start_fault.set(StartFault::Unhealthy);
         let rig = AgentRig::start(Rc::clone(&store), worker);
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         assert_eq!(rig.worker.starts(), vec![]);
         store.put(&Record::Evicted(WORKER.to_owned()));
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         rig.worker.start_fault.set(StartFault::None);
         assert!(table_of(&store).evicted.is_empty(), "it has returned");
         start_leader(&store, "entry-1", 1, None);
@@ -222,85 +223,88 @@
     });
 }
 
-/// A process whose registration the store hasn't carried out leaves the same view to the next one, which takes
-/// another number all the same.
+/// The store hasn't carried out the registration of a process, so that the next process has the same view, but it takes
+/// another registration number.
 #[test]
-fn number_of_predecessor_not_taken_again() {
+fn registration_number_of_predecessor_not_reused() {
     on_virtual_time(async {
         let store = MemoryStore::new();
         store.holds_appends.set(true);
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         rig.worker.silent.set(true);
-        sleep(LAPSES).await;
+        sleep(EXPIRY_TIME).await;
         rig.worker.silent.set(false);
         let worker = Rc::clone(&rig.worker);
         rig.kill();
         store.holds_appends.set(false);
         let rig = AgentRig::start(Rc::clone(&store), worker);
         rig.heartbeat(WORKER, 9);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         start_leader(&store, "entry-1", 1, None);
         submit(&store);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         assert_runs_once(&rig);
         add_other_worker(&store);
         store.apply_held();
-        sleep(SETTLES).await;
+        sleep(SETTLE_TIME).await;
         assert_runs_once(&rig);
     });
 }
 
-/// The whole of what was seen: a worker returns, a removal lands late, and its agent reads through an entry.
+/// The whole failure as it was seen: a worker returns, a removal is carried out late, and the worker's agent reads
+/// through an entry.
 #[test]
 fn late_removal_behind_entry_starts_nothing_elsewhere() {
     on_virtual_time(async {
-        let (rig, from, to) = returned_worker_of(|store| EntryRelayedStore::start(store)).await;
+        let (rig, from, to) =
+            returned_worker_through(|store| EntryRelayedStore::start(store)).await;
         add_other_worker(&rig.store);
         rig.store.apply_again(from, to);
-        sleep(SETTLES).await;
+        sleep(SETTLE_TIME).await;
         assert_runs_once(&rig);
         rig.worker.end(&task(JOB, 0), 1, EndReason::Done);
-        sleep(SETTLES).await;
+        sleep(SETTLE_TIME).await;
         assert_eq!(rig.worker.last_acknowledged(), 1);
         assert_eq!(table_of(&rig.store).status(JOB), Some(JobStatus::Succeeded));
     });
 }
 
-/// A registration that lands after its worker has left is removed again by the agent, which knows better.
+/// A registration that is carried out after its worker has left is removed again by the agent, which knows that the
+/// worker has left.
 #[test]
 fn late_registration_of_worker_that_left_removed() {
     on_virtual_time(async {
         let rig = AgentRig::start(MemoryStore::new(), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         let registered = rig.store.all(STATE_TOPIC).len();
         assert!(table_of(&rig.store).workers.contains_key(WORKER));
         start_leader(&rig.store, "entry-1", 1, None);
         rig.host.deregister(|life| life == WORKER);
         rig.worker.gone.set(true);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         assert!(table_of(&rig.store).workers.is_empty());
         rig.store.apply_again(0, registered);
-        sleep(SETTLES).await;
+        sleep(SETTLE_TIME).await;
         let table = table_of(&rig.store);
         assert!(table.workers.is_empty());
         assert_eq!(table.registrations().late().count(), 0, "its key is removed");
     });
 }
 
-/// A worker has said good-bye and its machine is gone; an account of it from before lands late.
+/// A worker has deregistered and its machine is gone; a registration from before is carried out late.
 #[test]
-fn late_registration_takes_no_departure_back() {
+fn late_registration_keeps_departure() {
     on_virtual_time(async {
         let rig = AgentRig::start(MemoryStore::new(), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         let store = Rc::clone(&rig.store);
         let registered = store.all(STATE_TOPIC).len();
         start_leader(&store, "entry-1", 1, None);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         rig.host.deregister(|life| life == WORKER);
         sleep(Duration::from_millis(60)).await;
         rig.kill();
@@ -311,35 +315,36 @@
     });
 }
 
-/// To a leader of a release that knew no numbers, the removal of the key without one means that the worker is gone.
+/// To a leader of a release without registration numbers, the removal of the key without a number means that the worker
+/// is gone.
 #[test]
-fn registration_without_number_stays_until_life_ends() {
+fn registration_without_number_stays_until_incarnation_ends() {
     on_virtual_time(async {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         let key = worker_key(WORKER, 0);
         let is_removal = |record: &KeyedRecord| record.key == key && record.value.is_empty();
         assert!(!store.all(STATE_TOPIC).iter().any(is_removal));
         assert_eq!(table_of(&store).registrations().numbers(WORKER).count(), 2);
         rig.host.deregister(|life| life == WORKER);
         rig.worker.gone.set(true);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         assert!(store.all(STATE_TOPIC).iter().any(is_removal));
     });
 }
 
-/// Two processes of one machine at a time don't flood the store.
+/// Two agent processes that run on one machine at the same time don't flood the store.
 #[test]
-fn two_processes_take_turns() {
+fn two_agent_processes_of_one_machine_write_little() {
     on_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new(WORKER);
         let first = AgentRig::start(Rc::clone(&store), Rc::clone(&worker));
         first.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         let second = AgentRig::start(Rc::clone(&store), worker);
         second.heartbeat(WORKER, 2);
         sleep(Duration::from_secs(10)).await;
@@ -349,7 +354,7 @@
     });
 }
 
-/// A registration lands late, after its removal and before the planner's decision; the agent's process starts
+/// A registration is carried out late, after its removal and before the planner's decision; the agent's process starts
 /// again in between.
 #[test]
 fn run_not_started_after_late_registration_and_restart() {
@@ -357,12 +362,13 @@
         let store = MemoryStore::new();
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         let registered = store.all(STATE_TOPIC).len();
         assert!(registered > 0);
         add_other_worker(&store);
         store.put(&Record::Submitted(Box::new(job(JOB, 1, step(1, 1)))));
-        // Assigned as the agent's store was away and its worker silent: the life is over, its registration removed.
+        // The run was assigned while the agent couldn't reach the store and the worker was silent: the incarnation has
+        // ended, and its registration is removed.
         let keys: Vec<String> = table_of(&store).registrations().keys(WORKER).collect();
         let number = table_of(&store).registrations().newest(WORKER).map(|(number, _)| number);
         let number = number.expect("it is registered");
@@ -375,14 +381,14 @@
         let rig = AgentRig::start(Rc::clone(&store), worker);
         rig.heartbeat(WORKER, 9);
         sleep(Duration::from_millis(60)).await;
-        // The decision from when the registration was gone, on its way for 60 ms.
+        // The decision that was made while the registration was gone arrives 60 ms later.
         store.put(&Record::Plan(JOB.to_owned(), Box::new(running_plan(1, OTHER, 2))));
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         assert_eq!(rig.worker.starts(), vec![]);
     });
 }
 
-/// Without late writes, an agent that starts again takes up what was assigned before.
+/// Without late writes, an agent that starts again starts the run that was assigned before.
 #[test]
 fn run_assigned_before_restart_started() {
     on_virtual_time(async {
@@ -390,13 +396,13 @@
         seed_running_job(&store, JOB, 1, WORKER);
         let rig = AgentRig::start(store, FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(STARTS).await;
+        sleep(START_TIME).await;
         assert_runs_once(&rig);
     });
 }
 
-/// The removal of an eviction lands once more, late, when the worker has come back and is evicted again. Without a
-/// number it undid the newer one, and the agent went on with runs that were being given up.
+/// The removal of an eviction is carried out once more, late, when the worker has returned and is evicted again. Without
+/// a number, the removal undid the newer eviction, and the agent went on with runs that were being given up.
 #[test]
 fn late_removal_of_an_eviction_leaves_a_newer_one() {
     let mut table = JobTable::default();
--- a/crates/rampbay-jobs/tests/layer.rs
+++ b/crates/rampbay-jobs/tests/layer.rs
@@ -1,7 +1,7 @@
-//! Ways to the store over other ways.
+//! Layers add_layer a store forward every call.
 //!
-//! Found by reading: four of them passed each call on by hand, and three had missed a newer one: asked how far a topic
-//! goes, they read its records instead, as the default says.
+//! The fault, found by reading the code: four layers forwarded each call by hand, and three of them lacked a newer call:
+//! asked for the end of a topic, they read its records instead, as the default does.
 
 mod support;
 
@@ -21,83 +21,83 @@
 use rstest::rstest;
 use support::on_virtual_time;
 
-/// A store that takes note of the calls that it gets.
+/// A store that records the calls that it receives.
 #[derive(Default)]
-struct Noting(RefCell<Vec<&'static str>>);
+struct RecordingStore(RefCell<Vec<&'static str>>);
 
-impl Noting {
-    fn note(&self, call: &'static str) {
+impl RecordingStore {
+    fn record(&self, call: &'static str) {
         self.0.borrow_mut().push(call);
     }
 }
 
 #[async_trait(?Send)]
-impl Store for Noting {
+impl Store for RecordingStore {
     async fn append(
         &self,
         _: &str,
         _: &[KeyedRecord],
         _: Option<&Fence>,
     ) -> Result<Offset, AppendError> {
-        self.note("append");
+        self.record("append");
         Ok(0)
     }
 
     async fn report(&self, _: &[KeyedRecord]) -> Result<(), AppendError> {
-        self.note("report");
+        self.record("report");
         Ok(())
     }
 
     async fn read(&self, _: &str, _: Offset, _: Duration) -> Result<Batch, ReadError> {
-        self.note("read");
+        self.record("read");
         Ok(Batch::default())
     }
 
     async fn end(&self, _: &str, _: Offset) -> Result<Offset, ReadError> {
-        self.note("end");
+        self.record("end");
         Ok(0)
     }
 
     async fn newest(&self, _: &str) -> Result<Snapshot, ReadError> {
-        self.note("newest");
+        self.record("newest");
         Ok(Snapshot::default())
     }
 
     async fn stand_for_election(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
-        self.note("stand");
+        self.record("stand_for_election");
         Ok(Candidacy::default())
     }
 
     async fn resign(&self, _: &str) {
-        self.note("resign");
+        self.record("resign");
     }
 
     async fn holder(&self) -> Result<Option<NodeName>, ReadError> {
-        self.note("holder");
+        self.record("holder");
         Ok(None)
     }
 
     async fn recovered(&self) {
-        self.note("regained");
+        self.record("recovered");
     }
 }
 
-/// A way that adds nothing.
-struct Plain(Rc<dyn Store>);
+/// A layer that adds nothing.
+struct PlainLayer(Rc<dyn Store>);
 
-impl Layer for Plain {
+impl Layer for PlainLayer {
     fn inner(&self) -> &dyn Store {
         self.0.as_ref()
     }
 }
 
 #[rstest]
-#[case::plain(|below: Rc<dyn Store>| -> Rc<dyn Store> { Rc::new(Plain(below)) })]
-#[case::echo(|below| -> Rc<dyn Store> { Rc::new(ReadYourWritesStore::new(below, LiveTable::default())) })]
-fn every_call_reaches_store_below_as_it_is(#[case] over: fn(Rc<dyn Store>) -> Rc<dyn Store>) {
+#[case::plain(|inner: Rc<dyn Store>| -> Rc<dyn Store> { Rc::new(PlainLayer(inner)) })]
+#[case::echo(|inner| -> Rc<dyn Store> { Rc::new(ReadYourWritesStore::new(inner, LiveTable::default())) })]
+fn every_call_reaches_inner_store_unchanged(#[case] add_layer: fn(Rc<dyn Store>) -> Rc<dyn Store>) {
     on_virtual_time(async {
-        let below = Rc::new(Noting::default());
-        let store = over(Rc::clone(&below) as Rc<dyn Store>);
+        let inner = Rc::new(RecordingStore::default());
+        let store = add_layer(Rc::clone(&inner) as Rc<dyn Store>);
         let _ = store.append(STATE_TOPIC, &[], None).await;
         let _ = store.report(&[]).await;
         let _ = store.read(STATE_TOPIC, 0, Duration::ZERO).await;
@@ -107,8 +107,17 @@
         store.resign("entry-1").await;
         let _ = store.holder().await;
         store.recovered().await;
-        let all =
-            ["append", "report", "read", "end", "newest", "stand", "resign", "holder", "regained"];
-        assert_eq!(*below.0.borrow(), all);
+        let all = [
+            "append",
+            "report",
+            "read",
+            "end",
+            "newest",
+            "stand_for_election",
+            "resign",
+            "holder",
+            "recovered",
+        ];
+        assert_eq!(*inner.0.borrow(), all);
     });
 }
--- a/crates/rampbay-jobs/tests/partial_views.rs
+++ b/crates/rampbay-jobs/tests/partial_views.rs
@@ -1,11 +1,11 @@
-//! Views of the state that aren't whole: an agent that is sent only what concerns its worker, and a state that is
-//! read anew in another order than it was written in.
+//! Views of the state that aren't complete: an agent is sent only what concerns its worker, and a state is reloaded
+//! in another order than it was written in.
 //!
-//! Seen: of two runs of a task at once, the first was never stopped, though the planner had given it up.
+//! The failure: of two runs of a task at once, the first was never stopped, though the planner had given it up.
 //!
-//! How it came about: an entry passes an account on to the agents beside the workers that it names. The planner gives
-//! a run up once its worker's registration is gone, and by then the entry no longer knew whose worker it was. So the
-//! agent was never told, went on with the run, and started what it hadn't started yet.
+//! The cause: an entry passes a plan on to the agents of the workers that the plan names. The planner gives a run up
+//! once its worker's registration is gone, and by then the entry no longer knew the worker's agent. So the agent was
+//! never told, went on with the run, and started what it hadn't started yet.
 
 mod support;
 
@@ -36,7 +36,7 @@
 const OTHER: &str = "i-9";
 const AGENT: &str = "side-1";
 /// More than an agent takes to start or to stop a run.
-const ACTS: Duration = Duration::from_millis(800);
+const ACTION_TIME: Duration = Duration::from_millis(800);
 
 fn plan(instance: &str, attempt: u32) -> Record {
     Record::Plan(JOB.to_owned(), Box::new(running_plan(1, instance, attempt)))
@@ -48,10 +48,10 @@
     seed_running_job(&store, JOB, 1, WORKER);
     store.put(&Record::Worker(OTHER.to_owned(), Box::new(worker_record("side-9", "r1", 8))));
     let shared: Rc<dyn Store> = EntryRelayedStore::start(&store);
-    sleep(ACTS).await;
+    sleep(ACTION_TIME).await;
     let rig = AgentRig::start_with_store(store, shared, FakeWorker::new(WORKER));
     rig.heartbeat(WORKER, 1);
-    sleep(ACTS).await;
+    sleep(ACTION_TIME).await;
     assert_eq!(rig.worker.running(), vec![(task(JOB, 0), 1)]);
     rig
 }
@@ -69,7 +69,7 @@
         let rig = running_rig().await;
         give_up(&rig.store, WORKER);
         rig.store.put(&plan(OTHER, 2));
-        sleep(ACTS).await;
+        sleep(ACTION_TIME).await;
         assert_eq!(rig.worker.running(), vec![]);
     });
 }
@@ -84,20 +84,21 @@
             Record::Plan(second.to_owned(), Box::new(plan))
         };
         rig.store.put(&Record::Submitted(Box::new(job(second, 1, step(1, 1)))));
-        // All in one read: assigned, its worker given up, assigned elsewhere.
+        // One read returns all of this: the run is assigned, its worker is given up, the run is assigned elsewhere.
         rig.store.put(&planned(WORKER, 1));
         give_up(&rig.store, WORKER);
         rig.store.put(&planned(OTHER, 2));
-        sleep(ACTS * 3).await;
+        sleep(ACTION_TIME * 3).await;
         assert_eq!(rig.worker.starts(), vec![(task(JOB, 0), 1)]);
     });
 }
 
-/// An entry that has read the state anew doesn't know whose a worker was that is gone: all agents are told.
+/// An entry that has reloaded the state doesn't know the agent of a worker that is gone: the plan is addressed on to all
+/// agents.
 #[rstest]
 #[case::known_before(false, Recipients::Agents([AGENT.to_owned()].into()))]
-#[case::read_anew(true, Recipients::All)]
-fn account_of_gone_worker_passed_on(#[case] reloads: bool, #[case] expected: Recipients) {
+#[case::reloaded(true, Recipients::All)]
+fn plan_of_gone_worker_passed_on(#[case] reloads: bool, #[case] expected: Recipients) {
     let store = MemoryStore::new();
     seed_running_job(&store, JOB, 1, WORKER);
     let mut table = JobTable::default();
@@ -111,13 +112,13 @@
         store.all(STATE_TOPIC).last().iter().for_each(|record| table.apply(record));
     }
     let waiting = Record::Plan(JOB.to_owned(), Box::default());
-    let passed = table.apply_and_address(&waiting.encode());
-    assert_eq!(passed.recipients, expected);
+    let addressed = table.apply_and_address(&waiting.encode());
+    assert_eq!(addressed.recipients, expected);
 }
 
-/// A job that moves from a worker that is gone to another: the new agent gets the job before its account.
+/// A job that moves from a worker that is gone to another: the new agent is sent the job before its plan.
 #[test]
-fn account_of_gone_worker_introduced_to_new_agent() {
+fn plan_of_gone_worker_brings_its_job_to_new_agent() {
     let mut table = JobTable::default();
     let records = [
         Record::Submitted(Box::new(job(JOB, 1, step(1, 1)))),
@@ -125,40 +126,40 @@
         Record::Worker(OTHER.to_owned(), Box::new(worker_record("side-9", "r1", 8))),
     ];
     table.load(&records.each_ref().map(Record::encode));
-    let passed = table.apply_and_address(&plan(OTHER, 2).encode());
-    let sent: Vec<String> = passed.records_for("side-9").map(|record| record.key).collect();
+    let addressed = table.apply_and_address(&plan(OTHER, 2).encode());
+    let sent: Vec<String> = addressed.records_for("side-9").map(|record| record.key).collect();
     assert_eq!(sent, [format!("job/{JOB}"), format!("plan/{JOB}")]);
 }
 
-/// An entry that hasn't known the agent of a worker that is gone passes its account to all, and the job with it.
+/// An entry that doesn't know the agent of a worker that is gone passes the plan on to all agents, and the job with it.
 #[test]
-fn account_for_unknown_agent_brings_its_job() {
+fn plan_for_unknown_agent_brings_its_job() {
     let mut table = JobTable::default();
     table.load(&[Record::Submitted(Box::new(job(JOB, 1, step(1, 1)))).encode()]);
-    let account = Record::Plan(JOB.to_owned(), Box::new(running_plan(1, WORKER, 1)));
-    let passed = table.apply_and_address(&account.encode());
-    let sent: Vec<String> = passed.records_for(AGENT).map(|record| record.key).collect();
+    let plan_record = Record::Plan(JOB.to_owned(), Box::new(running_plan(1, WORKER, 1)));
+    let addressed = table.apply_and_address(&plan_record.encode());
+    let sent: Vec<String> = addressed.records_for(AGENT).map(|record| record.key).collect();
     assert_eq!(sent, [format!("job/{JOB}"), format!("plan/{JOB}")]);
 }
 
-/// Seen in the soak: an agent had just taken in an end of its own when a read that began before came back. Its answer
-/// held a job and its account, two records for two offsets, and was taken for a whole one: the job was passed over
-/// as known, and so was its account without it. The run never started.
+/// Seen in the soak: an agent had just applied an end that it had appended, when a read was answered that had started
+/// before. The answer held a job and its plan, two records for two offsets, and was taken for a complete one: the job
+/// was skipped as known, and so was its plan without the job. The run never started.
 #[rstest]
 #[case::whole(false, 1)]
 #[case::partial(true, 0)]
-fn answer_with_as_many_records_as_offsets(#[case] is_partial: bool, #[case] passed_over: usize) {
+fn answer_with_as_many_records_as_offsets(#[case] is_partial: bool, #[case] skipped: usize) {
     let job = Record::Submitted(Box::new(job(JOB, 1, step(1, 1)))).encode();
     let records = vec![job, plan(WORKER, 1).encode()];
     let batch = Batch { end: 2, next: 2, records, is_partial, ..Batch::default() };
-    assert_eq!(batch.new_since(0, 1), &batch.records[passed_over..]);
+    assert_eq!(batch.new_since(0, 1), &batch.records[skipped..]);
 }
 
-/// An entry that passes accounts on without their jobs.
-struct WithoutJobs(Rc<EntryRelayedStore>);
+/// An entry that passes plans on without their jobs.
+struct EntryWithoutJobs(Rc<EntryRelayedStore>);
 
 #[async_trait(?Send)]
-impl Layer for WithoutJobs {
+impl Layer for EntryWithoutJobs {
     fn inner(&self) -> &dyn Store {
         self.0.as_ref()
     }
@@ -170,31 +171,31 @@
     }
 }
 
-/// An agent whose view has a gap can't tell what it lacks, but that it does: an account names its worker, and the job isn't
-/// known. Passed over, the run stood still for as long as the agent lived.
+/// An agent whose view has a gap can't tell what it lacks, only that something is missing: a plan names its worker, and the
+/// plan's job isn't known. When such a plan was merely skipped, the run didn't start for as long as the agent lived.
 #[test]
-fn account_without_its_job_makes_agent_read_anew() {
+fn plan_without_its_job_makes_agent_reload() {
     on_virtual_time(async {
         let store = MemoryStore::new();
-        let shared: Rc<dyn Store> = Rc::new(WithoutJobs(EntryRelayedStore::start(&store)));
-        sleep(ACTS).await;
+        let shared: Rc<dyn Store> = Rc::new(EntryWithoutJobs(EntryRelayedStore::start(&store)));
+        sleep(ACTION_TIME).await;
         let rig = AgentRig::start_with_store(store, shared, FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(ACTS).await;
+        sleep(ACTION_TIME).await;
         seed_running_job(&rig.store, JOB, 1, WORKER);
-        sleep(ACTS).await;
+        sleep(ACTION_TIME).await;
         assert_eq!(rig.worker.running(), vec![(task(JOB, 0), 1)]);
     });
 }
 
-/// A gap that the state has itself can't be closed: the agent reads the state anew every three seconds at most.
+/// A gap that the state itself has can't be closed: the agent reloads the state every three seconds at most.
 #[test]
-fn account_whose_job_is_nowhere_read_for_now_and_then() {
+fn plan_whose_job_is_missing_causes_few_reloads() {
     on_virtual_time(async {
         let store = MemoryStore::new();
         let rig = AgentRig::start(store, FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
-        sleep(ACTS).await;
+        sleep(ACTION_TIME).await;
         rig.store.put(&plan(WORKER, 1));
         let before = rig.store.newest_reads.get();
         sleep(Duration::from_secs(10)).await;
@@ -204,10 +205,10 @@
     });
 }
 
-/// What the store answers as the newest record of each key has an order of its own: a job that was written again
-/// stands behind its account.
+/// The store returns the newest record of each key in an order of its own: a job that was written again comes after
+/// its plan.
 #[rstest]
-fn state_read_anew_in_any_order(#[values(1, 2, 3, 4)] seed: u64) {
+fn state_reloaded_in_any_order(#[values(1, 2, 3, 4)] seed: u64) {
     let store = MemoryStore::new();
     seed_running_job(&store, JOB, 2, WORKER);
     let mut records = store.all(STATE_TOPIC);
@@ -222,8 +223,8 @@
     Record::Member(Member { node: node.to_owned(), passes_on, ..Member::default() })
 }
 
-/// Every agent reads through entries, so that the address of another agent is of no use to it; its own tells it that the
-/// state has it.
+/// Every agent reads through entries, so that the address of another agent is of no use to it; from its own it learns that
+/// the state holds that address.
 #[rstest]
 #[case::entry("entry-1", true, "side-9", true)]
 #[case::other_agent("side-1", false, "side-9", false)]
@@ -236,8 +237,8 @@
 ) {
     let mut table = JobTable::default();
     for _ in 0..2 {
-        let passed = table.apply_and_address(&member(node, passes_on).encode());
-        assert_eq!(passed.recipients.includes(agent), expected);
+        let addressed = table.apply_and_address(&member(node, passes_on).encode());
+        assert_eq!(addressed.recipients.includes(agent), expected);
     }
     assert_eq!(table.concerns(&format!("member/{node}"), agent), expected);
 }
--- a/crates/rampbay-jobs/tests/parts.rs
+++ b/crates/rampbay-jobs/tests/parts.rs
@@ -1,7 +1,7 @@
-//! Accounts of wide jobs, kept in parts.
+//! Plans of wide jobs, stored in parts.
 //!
-//! Each end of one of 360 tasks wrote the accounts of all 360, and sent them to every entry and to every agent with one of
-//! them: 4.3 MB to each entry for one job, without checkpoints.
+//! The fault: each end of one of 360 tasks wrote the plans of all 360, and sent them to every entry and to every agent with
+//! one of these tasks: 4.3 MB to each entry for one job, without checkpoints.
 
 mod support;
 
@@ -30,16 +30,16 @@
 }
 
 /// The store as one process sees it: the newest record of each key, and a table that follows.
-struct Kept {
+struct StoreView {
     newest: std::collections::BTreeMap<String, KeyedRecord>,
     table: JobTable,
 }
 
-impl Kept {
+impl StoreView {
     fn new(submission: Submission) -> Self {
-        let mut kept = Self { newest: Default::default(), table: JobTable::default() };
-        kept.append(&[Record::Submitted(Box::new(submission)).encode()]);
-        kept
+        let mut view = Self { newest: Default::default(), table: JobTable::default() };
+        view.append(&[Record::Submitted(Box::new(submission)).encode()]);
+        view
     }
 
     fn append(&mut self, records: &[KeyedRecord]) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Writes what turns the account into `plan`. Returns the records.
+    /// Writes the records that turn the stored plan into `plan`, and returns them.
     fn write(&mut self, plan: &JobPlan) -> Vec<KeyedRecord> {
         let job = &self.table.jobs[JOB];
         let records = changes(&JOB.to_owned(), job.plan.as_deref(), job.plan_layout, plan);
@@ -65,8 +65,8 @@
         self.table.jobs[JOB].plan.as_deref().cloned().unwrap_or_default()
     }
 
-    /// Returns the account as a process reads it that starts now and gets the records in another order.
-    fn plan_read_anew(&self, seed: u64) -> JobPlan {
+    /// Returns the plan as a process reads it that starts now and gets the records in another order.
+    fn plan_after_reload(&self, seed: u64) -> JobPlan {
         let mut records: Vec<KeyedRecord> = self.newest.values().cloned().collect();
         records.shuffle(&mut ChaCha8Rng::seed_from_u64(seed));
         let mut table = JobTable::default();
@@ -85,95 +85,95 @@
     records.iter().map(KeyedRecord::size).sum()
 }
 
-/// One end costs the same, however wide its step is.
+/// The end of one task writes about as many bytes, however wide the task's step is.
 #[rstest]
-fn bytes_of_one_end_not_by_width(#[values(60, 360, 2400)] width: u32) {
+fn bytes_of_one_end_independent_of_width(#[values(60, 360, 2400)] width: u32) {
     let of_end = |width: u32| {
-        let mut kept = Kept::new(wide_job(width));
+        let mut view = StoreView::new(wide_job(width));
         let mut plan = running(width);
-        kept.write(&plan);
+        view.write(&plan);
         plan.open[0].steps[0][width as usize / 2].status = TaskStatus::Done;
-        bytes(&kept.write(&plan))
+        bytes(&view.write(&plan))
     };
     let narrow = of_end(2 * TASKS_PER_PART as u32);
     assert!(of_end(width) <= narrow + 8, "{} bytes, {narrow} in a narrow step", of_end(width));
 }
 
 #[test]
-fn unchanged_account_writes_nothing() {
-    let mut kept = Kept::new(wide_job(40));
-    kept.write(&running(40));
-    assert_eq!(kept.write(&running(40)), []);
+fn unchanged_plan_writes_nothing() {
+    let mut view = StoreView::new(wide_job(40));
+    view.write(&running(40));
+    assert_eq!(view.write(&running(40)), []);
 }
 
 #[test]
-fn occurrence_none_of_whose_tasks_began_writes_no_parts() {
+fn occurrence_without_started_tasks_writes_no_parts() {
     let submission = wide_job(40);
-    let mut kept = Kept::new(submission.clone());
+    let mut view = StoreView::new(submission.clone());
     let open = vec![Occurrence::not_started(&submission, 0)];
     let plan = JobPlan { open, next_occurrence: 1, ..JobPlan::default() };
-    let keys: Vec<String> = kept.write(&plan).into_iter().map(|record| record.key).collect();
+    let keys: Vec<String> = view.write(&plan).into_iter().map(|record| record.key).collect();
     assert_eq!(keys, [format!("plan/{JOB}")]);
-    assert_eq!(kept.plan(), plan);
+    assert_eq!(view.plan(), plan);
 }
 
 #[test]
 fn parts_of_closed_occurrence_removed() {
-    let mut kept = Kept::new(wide_job(40));
-    kept.write(&running(40));
+    let mut view = StoreView::new(wide_job(40));
+    view.write(&running(40));
     let over = JobPlan { status: JobStatus::Succeeded, next_occurrence: 3, open: Vec::new() };
-    kept.write(&over);
-    let left: Vec<&String> = kept.newest.keys().collect();
+    view.write(&over);
+    let left: Vec<&String> = view.newest.keys().collect();
     assert_eq!(left, [&format!("job/{JOB}"), &format!("plan/{JOB}")]);
-    assert_eq!(kept.plan_read_anew(1), over);
+    assert_eq!(view.plan_after_reload(1), over);
 }
 
-/// What an earlier release wrote whole is read, and written anew with all its parts at the first change.
+/// A plan that an earlier release wrote whole is read, and is written with all its parts at the first change.
 #[test]
-fn whole_account_taken_over_into_parts() {
-    let mut kept = Kept::new(wide_job(40));
+fn whole_plan_converted_to_parts() {
+    let mut view = StoreView::new(wide_job(40));
     let mut plan = running(40);
-    kept.append(&[Record::Plan(JOB.to_owned(), Box::new(plan.clone())).encode()]);
-    assert_eq!(kept.plan(), plan);
-    assert_eq!(kept.table.jobs[JOB].plan_layout, PlanLayout::Whole);
+    view.append(&[Record::Plan(JOB.to_owned(), Box::new(plan.clone())).encode()]);
+    assert_eq!(view.plan(), plan);
+    assert_eq!(view.table.jobs[JOB].plan_layout, PlanLayout::Whole);
     plan.open[0].steps[0][7].status = TaskStatus::Done;
-    kept.write(&plan);
-    assert_eq!(kept.table.jobs[JOB].plan_layout, PlanLayout::InParts);
-    assert_eq!(kept.plan(), plan);
-    assert_eq!(kept.plan_read_anew(1), plan);
+    view.write(&plan);
+    assert_eq!(view.table.jobs[JOB].plan_layout, PlanLayout::InParts);
+    assert_eq!(view.plan(), plan);
+    assert_eq!(view.plan_after_reload(1), plan);
 }
 
-/// While releases are mixed, accounts are written whole: what an earlier release reads has all tasks, and no part is left
-/// beside it. Afterwards they go back into parts.
+/// While releases are mixed, plans are written whole: the record that an earlier release reads has all tasks, and no parts
+/// remain. Afterwards plans are written in parts again.
 #[test]
-fn account_in_parts_taken_over_into_whole_and_back() {
-    let mut kept = Kept::new(wide_job(40));
+fn plan_in_parts_converted_to_whole_and_back() {
+    let mut view = StoreView::new(wide_job(40));
     let mut plan = running(40);
-    kept.write(&plan);
+    view.write(&plan);
     plan.open[0].steps[0][7].status = TaskStatus::Done;
     let records = changes_to_whole(&JOB.to_owned(), Some(&running(40)), PlanLayout::InParts, &plan);
     assert_eq!(records[0], Record::Plan(JOB.to_owned(), Box::new(plan.clone())).encode());
     for record in &records {
-        kept.append(std::slice::from_ref(record));
-        assert_eq!(kept.plan(), plan);
+        view.append(std::slice::from_ref(record));
+        assert_eq!(view.plan(), plan);
     }
-    let left: Vec<&String> = kept.newest.keys().collect();
+    let left: Vec<&String> = view.newest.keys().collect();
     assert_eq!(left, [&format!("job/{JOB}"), &format!("plan/{JOB}")]);
-    assert_eq!(kept.plan_read_anew(1), plan);
+    assert_eq!(view.plan_after_reload(1), plan);
     plan.open[0].steps[0][8].status = TaskStatus::Done;
-    kept.write(&plan);
-    assert_eq!(kept.table.jobs[JOB].plan_layout, PlanLayout::InParts);
-    assert_eq!(kept.plan(), plan);
-    assert_eq!(kept.plan_read_anew(2), plan);
+    view.write(&plan);
+    assert_eq!(view.table.jobs[JOB].plan_layout, PlanLayout::InParts);
+    assert_eq!(view.plan(), plan);
+    assert_eq!(view.plan_after_reload(2), plan);
 }
 
-/// A planner writes wide accounts as its settings say.
+/// A planner writes wide plans as its settings say.
 #[rstest]
 #[case::in_parts("\"in_parts\"", true)]
 #[case::whole("\"whole\"", false)]
-fn planner_writes_accounts_as_set(#[case] setting: &str, #[case] has_parts: bool) {
+fn planner_writes_plans_as_set(#[case] setting: &str, #[case] has_parts: bool) {
     on_virtual_time(async {
-        let wide_accounts = serde_json::from_str(setting).expect("a form");
+        let wide_accounts = serde_json::from_str(setting).expect("a layout");
         let settings = Settings { wide_accounts, ..settings() };
         let mut rig = PlannerRig::of_workers(6);
         rig.planner = Planner::new(settings.planner());
@@ -185,25 +185,25 @@
 }
 
 #[test]
-fn settings_without_form_of_accounts_write_parts() {
+fn settings_without_plan_layout_write_parts() {
     assert_eq!(settings().wide_accounts, PlanLayout::InParts);
     assert!(serde_json::from_str::<PlanLayout>("\"half\"").is_err());
 }
 
-/// A reader that has taken in only some records of a change sees each task as it was before or as it is after it, and no
-/// occurrence that is over open again.
+/// A reader that has applied only some records of a change sees each task as it was before the change or as it is after it,
+/// and doesn't see an occurrence that has ended open again.
 #[test]
 fn change_read_halfway_shows_no_third_state() {
-    let mut kept = Kept::new(wide_job(40));
+    let mut view = StoreView::new(wide_job(40));
     let before = running(40);
-    kept.write(&before);
+    view.write(&before);
     let mut after = before.clone();
     after.open[0].steps[0].iter_mut().for_each(|task| task.attempt = 2);
     after.next_occurrence = 2;
     let records = changes(&JOB.to_owned(), Some(&before), PlanLayout::InParts, &after);
     for record in &records {
-        kept.append(std::slice::from_ref(record));
-        let seen = kept.plan();
+        view.append(std::slice::from_ref(record));
+        let seen = view.plan();
         let tasks = seen.open[0].steps[0].iter().zip(&before.open[0].steps[0]);
         let mut tasks = tasks.zip(&after.open[0].steps[0]);
         assert!(tasks.all(|((seen, before), after)| seen == before || seen == after));
@@ -211,12 +211,12 @@
     let over = JobPlan { status: JobStatus::Succeeded, next_occurrence: 3, open: Vec::new() };
     let records = changes(&JOB.to_owned(), Some(&after), PlanLayout::InParts, &over);
     for record in &records {
-        kept.append(std::slice::from_ref(record));
-        assert_eq!(kept.plan(), over);
+        view.append(std::slice::from_ref(record));
+        assert_eq!(view.plan(), over);
     }
 }
 
-/// An agent needs the tasks of its worker's part, and the job before them.
+/// An agent is sent the part with its worker's tasks, and the job before it.
 #[test]
 fn part_passed_on_to_its_own_agents() {
     let mut table = JobTable::default();
@@ -239,7 +239,7 @@
     assert_eq!(sent, [format!("job/{JOB}"), part, format!("plan/{JOB}")]);
 }
 
-/// What an agent is sent of a wide job is enough to see what its worker is to run, and what no longer.
+/// The records of a wide job that an agent is sent suffice to tell what its worker should run, and what no longer.
 #[test]
 fn agent_sees_its_runs_by_parts_alone() {
     let submission = wide_job(40);
@@ -262,16 +262,16 @@
     assert!(agent.should_run("i-1", &task(JOB, 18), 1));
 }
 
-/// Whoever leads next must not find half of a change: a gang of which some members are started.
+/// The next leader must not find half of a change: a gang of which only some members are started.
 #[rstest]
 #[case::after_others(4)]
 #[case::after_many_others(6000)]
-fn account_appended_at_once(#[case] others: usize) {
+fn plan_appended_at_once(#[case] others: usize) {
     let other = |number: usize| KeyedRecord { key: format!("end/{number}"), value: vec![1; 90] };
     let mut records: Vec<KeyedRecord> = (0..others).map(other).collect();
-    let account = changes(&JOB.to_owned(), None, PlanLayout::InParts, &running(4000));
+    let plan_records = changes(&JOB.to_owned(), None, PlanLayout::InParts, &running(4000));
     let first = records.len();
-    records.extend(account);
+    records.extend(plan_records);
     assert!(records.len() > first + 400);
     records.extend((0..others).map(other));
     let mut at = 0;
@@ -287,7 +287,7 @@
     assert!(groups.iter().all(|group| bytes(&records[group.clone()]) <= most));
 }
 
-/// What a round may do to an account.
+/// A change that a round may make to a plan.
 #[derive(Clone, Debug)]
 enum Change {
     Task(usize, u8, u32),
@@ -318,7 +318,7 @@
     all[number as usize % all.len()]
 }
 
-fn carry_out(change: &Change, plan: &mut JobPlan, submission: &Submission) {
+fn apply_change(change: &Change, plan: &mut JobPlan, submission: &Submission) {
     let all = |plan: &mut JobPlan, act: &mut dyn FnMut(usize, &mut TaskPlan)| {
         let tasks = plan.open.iter_mut().flat_map(|open| open.steps.iter_mut().flatten());
         tasks.enumerate().for_each(|(place, task)| act(place, task));
@@ -351,8 +351,8 @@
 proptest! {
     #![proptest_config(property::config(300))]
 
-    /// Whatever rounds do to an account, a reader that follows and one that reads the state anew, in any order, have it
-    /// as it was written.
+    /// Whatever rounds do to a plan, a reader that follows and one that reloads the state, in any order, have the plan as
+    /// it was written.
     #[test]
     fn any_rounds_read_as_written(
         width in 1_u32..60,
@@ -360,17 +360,17 @@
         seed in any::<u64>(),
     ) {
         let submission = wide_job(width);
-        let mut kept = Kept::new(submission.clone());
+        let mut view = StoreView::new(submission.clone());
         let mut plan = JobPlan::default();
         for round in &rounds {
-            round.iter().for_each(|change| carry_out(change, &mut plan, &submission));
-            kept.write(&plan);
-            prop_assert_eq!(&kept.plan(), &plan);
-            prop_assert_eq!(&kept.plan_read_anew(seed), &plan);
+            round.iter().for_each(|change| apply_change(change, &mut plan, &submission));
+            view.write(&plan);
+            prop_assert_eq!(&view.plan(), &plan);
+            prop_assert_eq!(&view.plan_after_reload(seed), &plan);
         }
         plan.open.clear();
-        kept.write(&plan);
-        let parts = kept.newest.keys().filter(|key| key.starts_with("part/")).count();
+        view.write(&plan);
+        let parts = view.newest.keys().filter(|key| key.starts_with("part/")).count();
         prop_assert_eq!(parts, 0);
     }
 }
--- a/crates/rampbay-jobs/tests/passed_over.rs
+++ b/crates/rampbay-jobs/tests/passed_over.rs
@@ -1,5 +1,5 @@
-//! Accounts that an agent passes over, since their jobs aren't known to it.
-//! An agent that such an account doesn't concern goes on as before, and one that it does concern reads the state anew once.
+//! Plans that an agent skips, because their jobs aren't known to it.
+//! An agent that such a plan doesn't concern goes on as before, and one that it concerns reloads the state once.
 
 mod support;
 
@@ -21,34 +21,34 @@
     table
 }
 
-fn account() -> Record {
+fn plan_record() -> Record {
     Record::Plan(JOB.to_owned(), Box::new(running_plan(1, WORKER, 1)))
 }
 
-/// An account that goes to all agents comes without its job to those that it doesn't concern.
+/// A plan that is passed on to all agents arrives without its job at those that it doesn't concern.
 #[rstest]
 #[case::concerned("side-1", true)]
 #[case::other("side-9", false)]
-fn account_without_job_lacked_by_its_agent_alone(#[case] agent: &str, #[case] lacks: bool) {
+fn plan_without_job_is_gap_of_its_agent_only(#[case] agent: &str, #[case] lacks: bool) {
     let mut table = table();
-    table.apply(&account().encode());
+    table.apply(&plan_record().encode());
     assert_eq!(table.lacks_job_for(agent), lacks);
 }
 
-/// What was lacking is there after the state was read as a whole.
+/// The gap is closed once the state has been read in full.
 #[test]
-fn gap_over_once_state_is_read() {
+fn gap_closed_once_state_is_read() {
     let mut table = table();
-    table.apply(&account().encode());
+    table.apply(&plan_record().encode());
     let submission = Record::Submitted(Box::new(job(JOB, 1, step(1, 1))));
     let worker = Record::Worker(WORKER.to_owned(), Box::new(worker_record("side-1", "r1", 8)));
-    table.load(&[account().encode(), submission.encode(), worker.encode()]);
+    table.load(&[plan_record().encode(), submission.encode(), worker.encode()]);
     assert!(!table.lacks_job_for("side-1"));
 }
 
-/// An account of a job that was removed, none of whose runs may exist, is nobody's gap.
+/// A plan of a removed job, none of whose runs may exist, is a gap of no agent.
 #[test]
-fn account_without_runs_lacked_by_nobody() {
+fn plan_without_runs_is_no_gap() {
     let mut table = table();
     table.apply(&Record::Plan(JOB.to_owned(), Box::default()).encode());
     assert!(!table.lacks_job_for("side-1"));
--- a/crates/rampbay-jobs/tests/removals.rs
+++ b/crates/rampbay-jobs/tests/removals.rs
@@ -1,8 +1,8 @@
 //! Jobs that are removed from the store some time after their end.
 //!
-//! Found in a review: a job that had ended could begin anew, and its tasks run again after ends that were kept. The removals
-//! of its account and of the job are records of their own, and a round of more than 512 kB was divided between them. A
-//! leader that went between the two appends left a job without an account.
+//! The fault, found in a review: a job that had ended could start again, and its tasks run again although their ends had been
+//! stored. The removals of its plan and of the job are separate records, and a round of more than 512 kB was divided between
+//! them. A leader that failed between the two appends left a job without a plan.
 
 mod support;
 
@@ -19,7 +19,7 @@
 const JOB: &str = "00000000000000aa";
 const OTHER: &str = "00000000000000ff";
 
-/// Lets a job end, and returns what removes it, with the account that it had.
+/// Lets a job end, and returns the records that remove it, with the plan that it had.
 async fn removal() -> (Vec<KeyedRecord>, JobPlan) {
     let mut rig = PlannerRig::of_workers(1);
     rig.submit(job(JOB, 1, step(1, 1)));
@@ -27,22 +27,22 @@
     rig.end(&task(JOB, 0), EndReason::Done);
     rig.plan();
     rig.advance(settings().planner().ended_job_retention + Duration::from_secs(2)).await;
-    let plan = rig.table.jobs[JOB].plan.clone().expect("an account");
+    let plan = rig.table.jobs[JOB].plan.clone().expect("a plan");
     (rig.round(), plan.as_ref().clone())
 }
 
-/// Whatever goes before the removal in its round, and wherever that is divided: a leader that goes between two appends
-/// leaves no job to begin anew.
+/// Whatever precedes the removal in its round, and wherever the round is divided: a leader that fails between two appends
+/// leaves no job that starts again.
 #[test]
-fn job_removed_with_its_account() {
+fn job_removed_with_its_plan() {
     on_virtual_time(async {
         let (removal, plan) = removal().await;
         let submission = Record::Submitted(Box::new(job(JOB, 1, step(1, 1))));
         let kept = [submission.encode(), Record::Plan(JOB.to_owned(), Box::new(plan)).encode()];
         let bytes: usize = removal.iter().map(KeyedRecord::size).sum();
         let key = plan_key(OTHER);
-        for room in 0..=bytes {
-            let value = vec![0; BYTES_PER_APPEND - key.len() - room];
+        for space in 0..=bytes {
+            let value = vec![0; BYTES_PER_APPEND - key.len() - space];
             let before = KeyedRecord { key: key.clone(), value };
             let records: Vec<KeyedRecord> = [before].into_iter().chain(removal.clone()).collect();
             let first = split_into_appends(&records).next().expect("an append");
@@ -53,7 +53,7 @@
             table.load(&left);
             assert!(
                 !table.active.contains(JOB),
-                "begins anew with room for {room} of {bytes} bytes"
+                "starts again with space for {space} of {bytes} bytes"
             );
         }
     });
--- a/crates/rampbay-jobs/tests/support/site.rs
+++ b/crates/rampbay-jobs/tests/support/site.rs
@@ -283,7 +283,7 @@
         );
     }
 
-    /// Crashes a machine's worker, which starts again after a pause as another incarnation, under the id of the first.
+    /// Crashes a machine's worker, which starts again after a pause as another incarnation, under the same id.
     pub fn restart_worker(&self, machine: &Rc<Machine>, pause: Duration) {
         let incarnation = machine.incarnation.get() + 1;
         machine.start_incarnation(
