--- a/crates/rampbay-jobs/tests/gaps.rs
+++ b/crates/rampbay-jobs/tests/gaps.rs
@@ -28,7 +28,7 @@
 /// Longer than an agent renews leases without news from the store, and than these leases last.
 const EXPIRY_TIME: Duration = Duration::from_secs(20);
 
-/// An entry that passes plans on without their jobs, and from some time on can't be read in full.
+/// An entry that passes plans on without their jobs, and whose state can't be read in full once `has_snapshots` is cleared.
 struct EntryWithoutJobs {
     entry: Rc<EntryRelayedStore>,
     has_snapshots: Cell<bool>,
--- a/crates/rampbay-jobs/tests/late_writes.rs
+++ b/crates/rampbay-jobs/tests/late_writes.rs
@@ -223,7 +223,7 @@
     });
 }
 
-/// The store hasn't carried out the registration of a process, so that the next process has the same view, but it takes
+/// If the store hasn't carried out the registration of a process, the next process has the same view, and still takes
 /// another registration number.
 #[test]
 fn registration_number_of_predecessor_not_reused() {
--- a/crates/rampbay-jobs/tests/layer.rs
+++ b/crates/rampbay-jobs/tests/layer.rs
@@ -1,4 +1,4 @@
-//! Layers add_layer a store forward every call.
+//! Layers over a store forward every call.
 //!
 //! The fault, found by reading the code: four layers forwarded each call by hand, and three of them lacked a newer call:
 //! asked for the end of a topic, they read its records instead, as the default does.
@@ -93,7 +93,7 @@
 
 #[rstest]
 #[case::plain(|inner: Rc<dyn Store>| -> Rc<dyn Store> { Rc::new(PlainLayer(inner)) })]
-#[case::echo(|inner| -> Rc<dyn Store> { Rc::new(ReadYourWritesStore::new(inner, LiveTable::default())) })]
+#[case::read_your_writes(|inner| -> Rc<dyn Store> { Rc::new(ReadYourWritesStore::new(inner, LiveTable::default())) })]
 fn every_call_reaches_inner_store_unchanged(#[case] add_layer: fn(Rc<dyn Store>) -> Rc<dyn Store>) {
     on_virtual_time(async {
         let inner = Rc::new(RecordingStore::default());
--- a/crates/rampbay-jobs/tests/partial_views.rs
+++ b/crates/rampbay-jobs/tests/partial_views.rs
@@ -93,7 +93,7 @@
     });
 }
 
-/// An entry that has reloaded the state doesn't know the agent of a worker that is gone: the plan is addressed on to all
+/// An entry that has reloaded the state doesn't know the agent of a worker that is gone: the plan is passed on to all
 /// agents.
 #[rstest]
 #[case::known_before(false, Recipients::Agents([AGENT.to_owned()].into()))]
--- a/crates/rampbay-jobs/tests/support/site.rs
+++ b/crates/rampbay-jobs/tests/support/site.rs
@@ -182,7 +182,7 @@
         self.store.put(&Record::Submitted(Box::new(job(id, 1, step))));
     }
 
-    /// Returns what callers see of a job.
+    /// Returns the status of a job, as callers see it.
     pub fn status(&self, id: &str) -> JobStatus {
         table_of(&self.store).status(id).expect("the job is known")
     }
--- a/crates/rampbay-jobs/tests/support/store.rs
+++ b/crates/rampbay-jobs/tests/support/store.rs
@@ -18,7 +18,7 @@
 /// A fault of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
     /// Every call is refused.
@@ -76,7 +76,7 @@
 }
 
 impl MemoryStore {
-    /// Makes an empty store.
+    /// Creates an empty store.
     pub fn new() -> Rc<Self> {
         Rc::new(Self::default())
     }
