--- a/crates/rampbay-jobs/src/freshness.rs
+++ b/crates/rampbay-jobs/src/freshness.rs
@@ -238,8 +238,8 @@
         self.recent.borrow_mut().push(addressed);
     }
 
-    /// Forgets the kept records; the next one will be that at `position`. The lists of records hold the newest record of
-    /// each key up to there, in the order of the topic.
+    /// Forgets the kept records; the next one will be that at `position`. The lists hold the newest record of each key up
+    /// to there, after older records of the key.
     pub(crate) fn restart(&self, position: Offset, records: &[&[KeyedRecord]]) {
         self.recent.borrow_mut().restart(position, records);
     }
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Records that records up to `position` have been applied.
+    /// Sets the offset up to which records have been applied, and notifies subscribers.
     pub(crate) fn move_to(&self, position: Offset) {
         self.position.set(position);
         self.notify();
