--- a/crates/rampbay-jobs/src/agent.rs
+++ b/crates/rampbay-jobs/src/agent.rs
@@ -1,12 +1,12 @@
 //! The agent beside a worker: carries out what the table says, renews leases, reports ends.
 //!
 //! A process may see several lives of its worker, one after the other or for a while side by
-//! side; each has a [`life::Life`] of its own. [`AgentHost`] makes them as heartbeats come and as
+//! side; each has a [`incarnation::Incarnation`] of its own. [`AgentHost`] makes them as heartbeats come and as
 //! the table tells of a life from before a restart.
 
 mod ends;
 mod held_back;
-pub mod life;
+pub mod incarnation;
 mod orders;
 mod registering;
 mod renewals;
@@ -28,7 +28,7 @@
 use crate::table::JobTable;
 use crate::worker::Worker;
 
-use life::Life;
+use incarnation::Incarnation;
 
 /// Times that an agent goes by.
 #[derive(Clone, Copy, Debug)]
@@ -36,15 +36,15 @@
     /// Longest lease that a worker gives.
     pub lease: Duration,
     /// Time after the last renewal was sent from which all leases have surely ended.
-    pub lapse: Duration,
+    pub lease_expiry: Duration,
     /// Oldest table under which leases are renewed.
-    pub guard: Duration,
+    pub max_renewal_table_age: Duration,
     /// Oldest table under which runs are started.
-    pub start_age: Duration,
+    pub max_start_table_age: Duration,
     /// Oldest account of the worker under which runs are started: its room may have shrunk since.
-    pub room_age: Duration,
+    pub max_heartbeat_age: Duration,
     /// Time without answer after which a worker's leases are no longer renewed.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// How long a renewal waits at the worker for an end.
     pub renewal_wait: Duration,
     /// Time between two reports while runs are there.
@@ -52,17 +52,17 @@
     /// Time between two reports of a worker without runs.
     pub idle_report_interval: Duration,
     /// How long a start without answer may take to show among the runs.
-    pub unanswered_start: Duration,
+    pub unanswered_start_timeout: Duration,
 }
 
 /// Makes a client for a life of the worker, given its address and its id.
 pub type Connect = Box<dyn Fn(&str, &str) -> Rc<dyn Worker>>;
 
 /// Compares two lives by when they began; `None` for lives of two workers.
-pub type Succession = fn(&str, &str) -> Option<Ordering>;
+pub type CompareIncarnations = fn(&str, &str) -> Option<Ordering>;
 
 /// Tells from its name when a life began, where workers tell that.
-pub type Began = fn(&str) -> Option<EpochMillis>;
+pub type IncarnationStart = fn(&str) -> Option<EpochMillis>;
 
 /// What all lives of one process share.
 pub struct AgentParts {
@@ -77,9 +77,9 @@
     /// Makes a client for a life of the worker.
     pub connect: Connect,
     /// Tells which of two lives of a worker came first.
-    pub succession: Succession,
+    pub compare_incarnations: CompareIncarnations,
     /// Tells when a life began.
-    pub began: Began,
+    pub incarnation_start: IncarnationStart,
     /// Reads the clock.
     pub wall_clock: fn() -> EpochMillis,
     /// Times.
@@ -102,7 +102,7 @@
 /// All lives of one process's worker.
 pub struct AgentHost {
     parts: Rc<AgentParts>,
-    lives: RefCell<BTreeMap<InstanceId, Rc<Life>>>,
+    lives: RefCell<BTreeMap<InstanceId, Rc<Incarnation>>>,
     /// Lives that are over for good, the latest last: a heartbeat of theirs that was held up may still come.
     ended: RefCell<VecDeque<InstanceId>>,
 }
@@ -146,8 +146,9 @@
 
     /// Returns whether a life is over for good, or a later one of its worker is known.
     fn is_of_the_past(&self, instance: &str) -> bool {
-        let is_earlier =
-            |known: &InstanceId| (self.parts.succession)(instance, known) == Some(Ordering::Less);
+        let is_earlier = |known: &InstanceId| {
+            (self.parts.compare_incarnations)(instance, known) == Some(Ordering::Less)
+        };
         self.ended.borrow().iter().any(|ended| ended == instance)
             || self.lives.borrow().keys().any(is_earlier)
     }
@@ -157,7 +158,7 @@
         let lives = self.lives.borrow();
         for life in lives.values() {
             let is_later = |other: &&InstanceId| {
-                (self.parts.succession)(&life.instance, other) == Some(Ordering::Less)
+                (self.parts.compare_incarnations)(&life.instance, other) == Some(Ordering::Less)
             };
             if let Some(successor) = lives.keys().rfind(is_later) {
                 life.replace(Some(successor.clone()));
@@ -201,12 +202,13 @@
         }
     }
 
-    fn life(self: &Rc<Self>, instance: &str, record: &WorkerRecord) -> Rc<Life> {
+    fn life(self: &Rc<Self>, instance: &str, record: &WorkerRecord) -> Rc<Incarnation> {
         if let Some(life) = self.lives.borrow().get(instance) {
             return Rc::clone(life);
         }
         let worker = (self.parts.connect)(&record.address, instance);
-        let life = Life::new(Rc::clone(&self.parts), instance.to_owned(), record.clone(), worker);
+        let life =
+            Incarnation::new(Rc::clone(&self.parts), instance.to_owned(), record.clone(), worker);
         self.lives.borrow_mut().insert(instance.to_owned(), Rc::clone(&life));
         log::info!("event=J160 worker life found worker={instance} address={}", record.address);
         self.end_predecessors();
@@ -225,7 +227,7 @@
         life
     }
 
-    fn remember_ended(&self, life: &Life) {
+    fn remember_ended(&self, life: &Incarnation) {
         let mut ended = self.ended.borrow_mut();
         if ended.len() >= MOST_ENDED {
             ended.pop_front();
@@ -255,7 +257,7 @@
         let settings = &self.parts.settings;
         let mut since_report = settings.idle_report_interval;
         loop {
-            let lives: Vec<Rc<Life>> = self.lives.borrow().values().cloned().collect();
+            let lives: Vec<Rc<Incarnation>> = self.lives.borrow().values().cloned().collect();
             lives.iter().for_each(|life| life.forget_removed_jobs());
             let busy = lives.iter().any(|life| life.has_runs());
             if busy || since_report >= settings.idle_report_interval {
@@ -270,7 +272,7 @@
         }
     }
 
-    async fn report(&self, lives: &[Rc<Life>]) -> Result<(), AppendError> {
+    async fn report(&self, lives: &[Rc<Incarnation>]) -> Result<(), AppendError> {
         let records: Vec<KeyedRecord> = lives
             .iter()
             .map(|life| KeyedRecord { key: life.instance.clone(), value: encode(&life.report()) })
--- a/crates/rampbay-jobs/src/agent/ends.rs
+++ b/crates/rampbay-jobs/src/agent/ends.rs
@@ -9,7 +9,7 @@
 use crate::record::{EndReason, KeyedRecord, Record, RunEnd, STATE_TOPIC, encode};
 use crate::worker::Listing;
 
-use super::life::Life;
+use super::incarnation::Incarnation;
 use super::runs::RunKey;
 
 /// Pause before ends that the store didn't take are offered again.
@@ -31,7 +31,7 @@
     }
 }
 
-impl Life {
+impl Incarnation {
     /// Takes in the ends that a worker lists.
     pub(super) fn take_in_ended(self: &Rc<Self>, listing: &Listing) {
         let ends = listing.ended.iter().filter(|end| end.number > self.last_seen.get());
@@ -96,7 +96,7 @@
 
     fn record_of(&self, end: &PendingEnd) -> KeyedRecord {
         let (task, attempt) = end.key.clone();
-        metrics().ended(end.reason.word());
+        metrics().count_end(end.reason.label());
         let percent = self.runs.borrow().open.get(&end.key).map_or(0, |run| run.percent);
         log::info!(
             "event=J165 run over task={task} attempt={attempt} reason={:?} worker={} number={} percent={percent}",
--- a/crates/rampbay-jobs/src/agent/held_back.rs
+++ b/crates/rampbay-jobs/src/agent/held_back.rs
@@ -1,6 +1,6 @@
 //! Why runs that the table wants aren't ordered.
 
-use super::life::Life;
+use super::incarnation::Incarnation;
 
 /// Why an agent holds wanted runs back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     UnknownRoom,
 }
 
-impl Life {
+impl Incarnation {
     /// Returns why no run at all may be ordered now.
     pub(super) fn held_back(&self) -> Option<HeldBack> {
         if !self.listed.get() {
@@ -32,7 +32,7 @@
             Some(HeldBack::Evicted)
         } else if !self.is_registered() {
             Some(HeldBack::NotRegistered)
-        } else if !self.parts.freshness.is_within(self.parts.settings.start_age) {
+        } else if !self.parts.freshness.is_within(self.parts.settings.max_start_table_age) {
             Some(HeldBack::OldView)
         } else {
             None
--- a/crates/rampbay-jobs/src/agent/life.rs
+++ b/crates/rampbay-jobs/src/agent/incarnation.rs
@@ -44,7 +44,7 @@
 }
 
 /// One life of a worker.
-pub struct Life {
+pub struct Incarnation {
     /// The worker's id.
     pub instance: InstanceId,
     pub(super) parts: Rc<AgentParts>,
@@ -94,7 +94,7 @@
     abandoned: Notify,
 }
 
-impl Life {
+impl Incarnation {
     /// Makes a life whose runs aren't known yet.
     pub(super) fn new(
         parts: Rc<AgentParts>,
@@ -274,13 +274,13 @@
         let table = self.parts.table.borrow();
         !table.evicted.contains(&self.instance)
             && self.left_at.get().is_none()
-            && self.parts.freshness.is_within(self.parts.settings.guard)
-            && self.heard.get().elapsed() < self.parts.settings.silence
+            && self.parts.freshness.is_within(self.parts.settings.max_renewal_table_age)
+            && self.heard.get().elapsed() < self.parts.settings.silence_timeout
     }
 
     /// Returns whether all leases that were ordered have surely ended.
     pub(super) fn leases_have_lapsed(&self) -> bool {
-        self.lease_sent.get().elapsed() > self.parts.settings.lapse
+        self.lease_sent.get().elapsed() > self.parts.settings.lease_expiry
     }
 
     /// Returns the time by the worker's clock until which a lease may last, if it is known.
@@ -302,7 +302,10 @@
 
     /// Returns the fencing token of orders for a life of the worker.
     pub(super) fn token_for(&self, instance: &str) -> FencingToken {
-        fencing::token((self.parts.began)(instance), self.parts.table.borrow().leader.epoch)
+        fencing::token(
+            (self.parts.incarnation_start)(instance),
+            self.parts.table.borrow().leader.epoch,
+        )
     }
 
     /// Returns whether runs may exist.
--- a/crates/rampbay-jobs/src/agent/orders.rs
+++ b/crates/rampbay-jobs/src/agent/orders.rs
@@ -5,14 +5,14 @@
 
 use tokio::time::Instant;
 
-use crate::account::TaskStatus;
 use crate::metrics::metrics;
+use crate::plan::TaskStatus;
 use crate::record::EndReason;
 use crate::worker::{Refusal, StartOrder, Started, WorkerError};
 
 use super::ends::PendingEnd;
 use super::held_back::HeldBack;
-use super::life::Life;
+use super::incarnation::Incarnation;
 use super::room::Fit;
 use super::runs::{Phase, Run, RunKey};
 
@@ -34,7 +34,7 @@
     checkpoint: String,
 }
 
-impl Life {
+impl Incarnation {
     /// Gives orders until the life is over.
     pub(super) async fn give_orders(self: &Rc<Self>) {
         let mut changes = self.parts.freshness.subscribe();
@@ -143,7 +143,7 @@
             let sent = Instant::now();
             self.lease_sent.set(sent);
             let outcome = self.worker.start(&order).await;
-            metrics().ordered("start");
+            metrics().count_order("start");
             log::info!(
                 "event=J166 run ordered task={} attempt={} worker={} outcome={outcome:?} took_ms={} position={} view_age_ms={}",
                 order.task,
@@ -230,8 +230,8 @@
         !self.is_draining()
             && !self.is_in_drained_domain()
             && !self.is_evicted()
-            && table.wants_run(&self.instance, &key.0, key.1)
-            && self.parts.freshness.is_within(self.parts.settings.start_age)
+            && table.should_run(&self.instance, &key.0, key.1)
+            && self.parts.freshness.is_within(self.parts.settings.max_start_table_age)
     }
 
     fn set_phase(&self, key: &RunKey, phase: Phase) {
--- a/crates/rampbay-jobs/src/agent/registering.rs
+++ b/crates/rampbay-jobs/src/agent/registering.rs
@@ -6,11 +6,11 @@
 use crate::keys::worker_key;
 use crate::losses::LifeOver;
 use crate::record::{KeyedRecord, Record, STATE_TOPIC, encode, removal};
-use crate::registrations::{RegistrationNumber, number_after, number_at};
+use crate::registrations::{RegistrationNumber, next_number, number_at};
 use crate::store::Offset;
 use crate::table::JobTable;
 
-use super::life::Life;
+use super::incarnation::Incarnation;
 
 /// Pause before the store is asked again to keep a registration.
 const REGISTER_RETRY: Duration = Duration::from_millis(300);
@@ -18,7 +18,7 @@
 /// takes to end, less than the 3.5 s of silence after which a worker gets nothing.
 const YIELD_TIME: Duration = Duration::from_millis(2000);
 
-impl Life {
+impl Incarnation {
     /// Keeps the store's record of the worker like the worker's own account.
     pub(super) async fn register_for_ever(&self) {
         let mut changes = self.parts.freshness.subscribe();
@@ -78,7 +78,7 @@
         let number = match self.number.get() {
             None => number_at(self.parts.freshness.position(), (self.parts.wall_clock)()),
             Some(number) if comes_back && self.kept_number.get() == Some(number) => {
-                number_after(number)
+                next_number(number)
             }
             Some(number) => number,
         };
@@ -142,7 +142,7 @@
             Some(known) => **known != *self.record.borrow() || !self.is_registered_alone(&table),
             // Its runs are being given up. It comes back without any, and only once no account names it:
             // what is still to be given up would be started here as well.
-            None => is_empty && !table.names_worker(&self.instance),
+            None => is_empty && !table.has_runs_assigned_to(&self.instance),
         }
     }
 
--- a/crates/rampbay-jobs/src/agent/renewals.rs
+++ b/crates/rampbay-jobs/src/agent/renewals.rs
@@ -10,7 +10,7 @@
 use crate::worker::{Listing, RenewOrder, WorkerError};
 
 use super::ends::PendingEnd;
-use super::life::{Life, LifeEnd};
+use super::incarnation::{Incarnation, LifeEnd};
 use super::runs::{Phase, Run, RunKey, Runs};
 
 /// Pause after a call without answer.
@@ -26,7 +26,7 @@
 /// carried out late, and a heartbeat doesn't tell what runs.
 const IDLE_LOOK: Duration = Duration::from_millis(2000);
 
-impl Life {
+impl Incarnation {
     /// Renews and lists until the life is over.
     pub(super) async fn renew_for_ever(self: &Rc<Self>) {
         while !self.is_over() {
@@ -135,7 +135,7 @@
     /// Ends the life once all its leases have surely lapsed without a sign of the worker.
     fn judge_silence(&self) {
         let settings = &self.parts.settings;
-        let silent = self.heard.get().elapsed() > settings.silence;
+        let silent = self.heard.get().elapsed() > settings.silence_timeout;
         if silent && self.leases_have_lapsed() {
             self.end(LifeEnd::Silent);
         }
--- a/crates/rampbay-jobs/src/agent/room.rs
+++ b/crates/rampbay-jobs/src/agent/room.rs
@@ -3,7 +3,7 @@
 use crate::job::{Resources, Step, TaskId};
 use crate::table::JobTable;
 
-use super::life::Life;
+use super::incarnation::Incarnation;
 use super::runs::RunKey;
 
 /// Whether there is room for a run.
@@ -18,7 +18,7 @@
     Unknown,
 }
 
-impl Life {
+impl Incarnation {
     /// Looks whether a run fits beside all others that may exist here, those that are being stopped among them. Asked
     /// before each order, also a repeated one: the room may have shrunk since the one before.
     pub(super) fn room_for(&self, key: &RunKey) -> Fit {
@@ -48,7 +48,7 @@
     /// of any age: an earlier process of this machine wrote it.
     fn fit_without_account(&self) -> Option<Fit> {
         let heard = self.account_heard.get();
-        if heard.unwrap_or(self.found).elapsed() <= self.parts.settings.room_age {
+        if heard.unwrap_or(self.found).elapsed() <= self.parts.settings.max_heartbeat_age {
             return heard.is_none().then_some(Fit::Unknown);
         }
         log::warn!(
--- a/crates/rampbay-jobs/src/agent/runs.rs
+++ b/crates/rampbay-jobs/src/agent/runs.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use crate::job::{Checkpoint, TaskId};
-use crate::losses::LastRun;
+use crate::losses::InFlightRun;
 
 /// Names a run: the task and its attempt.
 pub type RunKey = (TaskId, u32);
@@ -82,10 +82,10 @@
 
 impl Runs {
     /// Lists the runs that may have begun and whose end isn't known, with their ages.
-    pub fn begun(&self) -> Vec<LastRun> {
+    pub fn begun(&self) -> Vec<InFlightRun> {
         let begun =
             self.open.iter().filter(|(key, run)| run.may_have_begun && !self.over.contains(*key));
-        let begun = begun.map(|((task, attempt), run)| LastRun {
+        let begun = begun.map(|((task, attempt), run)| InFlightRun {
             task: task.clone(),
             attempt: *attempt,
             age_ms: run.known_since.elapsed().as_millis() as u64,
--- a/crates/rampbay-jobs/src/agent/stops.rs
+++ b/crates/rampbay-jobs/src/agent/stops.rs
@@ -5,11 +5,11 @@
 
 use tokio::time::Instant;
 
-use crate::account::TaskStatus;
 use crate::metrics::metrics;
+use crate::plan::TaskStatus;
 use crate::worker::{StopOrder, WorkerError};
 
-use super::life::Life;
+use super::incarnation::Incarnation;
 use super::runs::{Phase, Run, RunKey};
 
 /// Pause between a stop's answer and the look that shows whether a run was there at all.
@@ -17,7 +17,7 @@
 /// Pause before a stop without answer is repeated.
 const STOP_RETRY: Duration = Duration::from_millis(50);
 
-impl Life {
+impl Incarnation {
     /// Settles runs that may have been given up already: the worker is evicted, or its registration is gone or was
     /// when they were assigned, or an earlier process of this agent has refused them. The planner may start them
     /// elsewhere by a decision that is on its way, and a start by an earlier process may still be carried out. So
@@ -87,8 +87,8 @@
                 return false;
             }
             let unanswered = matches!(run.phase, Phase::Unanswered(since)
-                if since.elapsed() > self.parts.settings.unanswered_start);
-            shows_up || unanswered || evicted || !table.wants_run(&self.instance, task, *attempt)
+                if since.elapsed() > self.parts.settings.unanswered_start_timeout);
+            shows_up || unanswered || evicted || !table.should_run(&self.instance, task, *attempt)
         });
         unwanted.map(|(key, _)| key.clone()).collect()
     }
@@ -99,7 +99,7 @@
         while !self.is_over() {
             let order = StopOrder { fencing_token: self.fencing_token(), ..order.clone() };
             let outcome = self.worker.stop(&order).await;
-            metrics().ordered("stop");
+            metrics().count_order("stop");
             log::info!(
                 "event=J167 stop ordered task={} attempt={} worker={} outcome={outcome:?}",
                 key.0,
--- a/crates/rampbay-jobs/src/agent/successor.rs
+++ b/crates/rampbay-jobs/src/agent/successor.rs
@@ -11,13 +11,13 @@
 use crate::fencing::FencingToken;
 use crate::worker::StopOrder;
 
-use super::life::Life;
+use super::incarnation::Incarnation;
 use super::runs::RunKey;
 
 /// Pause before a run that isn't surely over is ended again.
 const CLEAR_RETRY: Duration = Duration::from_millis(100);
 
-impl Life {
+impl Incarnation {
     /// Ends all runs that orders for this life may have begun at the next one. What no life answers for is over once
     /// all leases of the last order have lapsed.
     pub(super) async fn clear_successor(&self) {
@@ -25,7 +25,7 @@
             while !self.leases_have_lapsed() {
                 let fencing_token = self.successor_token();
                 let order = StopOrder { task: task.clone(), attempt, fencing_token };
-                match self.worker.clear(&order).await {
+                match self.worker.stop_in_any_incarnation(&order).await {
                     Ok(true) => break,
                     Ok(false) | Err(_) => tokio::time::sleep(CLEAR_RETRY).await,
                 }
--- a/crates/rampbay-jobs/src/candidacy.rs
+++ b/crates/rampbay-jobs/src/candidacy.rs
@@ -5,7 +5,7 @@
 //! stays in the group: the others learn whether anybody leads, join once nobody does, and leave again where another
 //! one was first. While the leader is the only member, whatever is dealt is dealt to it.
 //!
-//! A few processes ask the store again and again who leads ([`Vigil`]). The others hear of it with what they read
+//! A few processes ask the store again and again who leads ([`LeaderPollers`]). The others hear of it with what they read
 //! through peers, and ask only once they haven't for a while: so the calls don't grow with the fleet, and a
 //! leader is found also where all of the few are lost with the last one. Those who stand do so one after the other.
 //!
@@ -48,24 +48,24 @@
 const STANDING_CALLS: u32 = 3;
 /// Processes that ask the store again and again who leads: as many as may be lost at once with a leader, before the
 /// others have to notice by themselves, and a call a third of a second of each.
-pub const VIGIL_SIZE: usize = 5;
+pub const LEADER_POLLER_COUNT: usize = 5;
 /// Places over which processes that aren't among the few spread their standing. Twice as many of them have a place as
 /// have the one before, so that one or two come first whatever their number is, up to some 1,000. Spread evenly, one
 /// in twenty came first, and of 126 that started at one moment six took the lead from each other.
 const OTHER_PLACES: u32 = 10;
 
 /// Who asks the store again and again who leads.
-pub trait Vigil {
+pub trait LeaderPollers {
     /// Returns this process's place among the few who ask, by which they stand one after the other; `None` if it
     /// isn't one of them.
-    fn place(&self) -> Option<usize>;
+    fn rank(&self) -> Option<usize>;
 }
 
 /// Processes that have more room to lead than this one.
 #[async_trait(?Send)]
-pub trait Successors {
+pub trait PreferredLeaders {
     /// Returns whether one of them answers.
-    async fn any_answers(&self) -> bool;
+    async fn any_reachable(&self) -> bool;
 }
 
 /// A process that stands for leadership.
@@ -77,9 +77,9 @@
     /// Time between two calls: of a leader to stay, of others to learn whether anybody leads.
     pub interval: Duration,
     /// Processes with more room, where this one has little.
-    pub successors: Option<Rc<dyn Successors>>,
+    pub preferred_leaders: Option<Rc<dyn PreferredLeaders>>,
     /// Who asks the store again and again who leads.
-    pub vigil: Rc<dyn Vigil>,
+    pub leader_pollers: Rc<dyn LeaderPollers>,
     /// What this process hears of who leads with what it reads.
     pub freshness: Rc<Freshness>,
     /// A random number, which differs between processes and starts.
@@ -93,12 +93,14 @@
 
     /// Returns whether this process has to ask the store who leads.
     fn has_to_ask(&self) -> bool {
-        self.vigil.place().is_some() || self.freshness.led_age().is_none_or(|age| age > NEWS_AGE)
+        self.leader_pollers.rank().is_some()
+            || self.freshness.led_age().is_none_or(|age| age > NEWS_AGE)
     }
 
     /// Returns how long after the others this process stands, where a call to the store takes so long.
     fn standing_delay(&self, call: Duration) -> Duration {
-        let place = self.vigil.place().map_or_else(|| self.other_place(), |place| place as u32);
+        let place =
+            self.leader_pollers.rank().map_or_else(|| self.other_place(), |place| place as u32);
         STANDING_GAP.max(call * STANDING_CALLS) * place
     }
 
@@ -106,7 +108,7 @@
     /// leader grew old; a process that has just started leaves it to them.
     fn other_place(&self) -> u32 {
         let has_news = self.freshness.led_age().is_some();
-        let first = if has_news { 0 } else { VIGIL_SIZE as u32 };
+        let first = if has_news { 0 } else { LEADER_POLLER_COUNT as u32 };
         first + OTHER_PLACES.saturating_sub(self.salt.trailing_zeros())
     }
 }
@@ -125,11 +127,11 @@
     let mut generation = 0;
     loop {
         wait_for_vacancy(candidate).await;
-        if let Some(successors) = &candidate.successors {
+        if let Some(preferred_leaders) = &candidate.preferred_leaders {
             log::info!("event=J123 nobody leads, a process with little room stands");
             tokio::select! {
                 () = stand(candidate, term, &mut generation) => {}
-                () = successor_answers(successors.as_ref(), term) => {
+                () = successor_answers(preferred_leaders.as_ref(), term) => {
                     log::info!("event=J124 leadership handed over to a process with more room");
                 }
             }
@@ -166,7 +168,7 @@
 async fn join(candidate: &Candidate, generation: u64) -> Option<Candidacy> {
     let mut joins = FuturesUnordered::new();
     for _ in 0..JOIN_INTERVALS {
-        joins.push(candidate.store.stand(&candidate.node, generation));
+        joins.push(candidate.store.stand_for_election(&candidate.node, generation));
         let answer = async {
             loop {
                 match joins.next().await {
@@ -191,7 +193,7 @@
 /// Waits until the store says that nobody leads, to a process with little room several times in a row, and until
 /// the processes before this one have had time to stand.
 async fn wait_for_vacancy(candidate: &Candidate) {
-    let (interval, answers) = if candidate.successors.is_some() {
+    let (interval, answers) = if candidate.preferred_leaders.is_some() {
         tokio::time::sleep(SMALL_VACANCY_INTERVAL).await;
         (SMALL_VACANCY_INTERVAL, SMALL_VACANT_ANSWERS)
     } else {
@@ -239,11 +241,11 @@
 }
 
 /// Waits until a process with more room answers while this one leads.
-async fn successor_answers(successors: &dyn Successors, term: &Term) {
+async fn successor_answers(preferred_leaders: &dyn PreferredLeaders, term: &Term) {
     loop {
         tokio::time::sleep(HANDOVER_INTERVAL).await;
         let leads = term.borrow().is_some();
-        if leads && successors.any_answers().await {
+        if leads && preferred_leaders.any_reachable().await {
             return;
         }
     }
--- a/crates/rampbay-jobs/src/clock.rs
+++ b/crates/rampbay-jobs/src/clock.rs
@@ -13,14 +13,14 @@
 use std::time::Duration;
 
 /// Reads a clock: time since a moment that stays the same.
-pub type Source = fn() -> Duration;
+pub type ClockSource = fn() -> Duration;
 
 thread_local! {
-    static SOURCE: Cell<Source> = const { Cell::new(since_boot) };
+    static SOURCE: Cell<ClockSource> = const { Cell::new(since_boot) };
 }
 
 /// Reads moments on this thread from another source, such as virtual time.
-pub fn use_source(source: Source) {
+pub fn set_clock_source(source: ClockSource) {
     SOURCE.set(source);
 }
 
--- a/crates/rampbay-jobs/src/follower.rs
+++ b/crates/rampbay-jobs/src/follower.rs
@@ -5,9 +5,9 @@
 
 use tokio::time::Instant;
 
-use crate::audience::Passed;
 use crate::clock::Moment;
 use crate::freshness::Freshness;
+use crate::recipients::AddressedRecord;
 use crate::record::KeyedRecord;
 use crate::store::{Batch, Offset, ReadError, Store};
 
@@ -41,12 +41,12 @@
     /// Takes in one record.
     fn apply(&mut self, record: &KeyedRecord);
     /// Takes in one record that is to be passed on, and tells whom it concerns.
-    fn apply_and_tell(&mut self, record: &KeyedRecord) -> Passed {
+    fn apply_and_address(&mut self, record: &KeyedRecord) -> AddressedRecord {
         self.apply(record);
-        Passed::to_all(record.clone())
+        AddressedRecord::for_all(record.clone())
     }
     /// Takes note that the topic could be read.
-    fn read(&mut self) {}
+    fn note_read(&mut self) {}
     /// Returns whether a record was passed over that can't be taken in without another one, which hasn't come.
     fn has_gap(&self) -> bool {
         false
@@ -82,7 +82,7 @@
         let result = tokio::select! {
             result = read => result,
             // A read from before the store came back may never be answered.
-            () = store.regained() => {
+            () = store.recovered() => {
                 reachable = false;
                 continue;
             }
@@ -97,7 +97,7 @@
                 }
                 reachable = true;
                 reloads = false;
-                sink.read();
+                sink.note_read();
                 pause = RETRY_PAUSE;
                 tokio::time::sleep_until(started + pace.gap).await;
             }
@@ -113,7 +113,7 @@
                     log::warn!("event=J102 store lost topic={topic} age_ms={}", age_ms(&freshness));
                 }
                 reachable = false;
-                let _ = tokio::time::timeout(pause, store.regained()).await;
+                let _ = tokio::time::timeout(pause, store.recovered()).await;
                 pause = (pause * 2).min(LONGEST_RETRY_PAUSE);
             }
         }
@@ -175,7 +175,7 @@
     sink.load(&snapshot.records);
     freshness.restart(position, &[&snapshot.records, &later]);
     later.iter().for_each(|record| sink.apply(record));
-    freshness.prove(proven_at);
+    freshness.note_current_as_of(proven_at);
     freshness.move_to(position);
     Ok(())
 }
@@ -186,7 +186,7 @@
     if position < batch.end {
         return None;
     }
-    batch.speaks_for(started)
+    batch.current_as_of(started)
 }
 
 async fn advance(
@@ -207,11 +207,11 @@
     let known = freshness.position();
     let new = if known >= batch.next { &[] } else { batch.new_since(from, known) };
     for record in new {
-        take_in(sink, freshness, record);
+        apply_record(sink, freshness, record);
     }
     let position = known.max(batch.next);
     if let Some(at) = proven_by(&batch, position, started) {
-        freshness.prove(at);
+        freshness.note_current_as_of(at);
     }
     if position > known || count > 0 {
         freshness.move_to(position);
@@ -220,9 +220,9 @@
 }
 
 /// Takes one record into a sink, and keeps it where records are passed on.
-pub(crate) fn take_in(sink: &mut impl Sink, freshness: &Freshness, record: &KeyedRecord) {
+pub(crate) fn apply_record(sink: &mut impl Sink, freshness: &Freshness, record: &KeyedRecord) {
     if freshness.keeps() {
-        freshness.keep(sink.apply_and_tell(record));
+        freshness.keep(sink.apply_and_address(record));
     } else {
         sink.apply(record);
     }
--- a/crates/rampbay-jobs/src/freshness.rs
+++ b/crates/rampbay-jobs/src/freshness.rs
@@ -8,8 +8,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::audience::Passed;
 use crate::clock::Moment;
+use crate::recipients::AddressedRecord;
 use crate::record::KeyedRecord;
 use crate::store::{Batch, Offset, ReadError, Snapshot};
 
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 struct Recent {
     first: Offset,
-    records: VecDeque<Passed>,
+    records: VecDeque<AddressedRecord>,
     bytes: usize,
     kept: bool,
     /// The newest record of each key, if all were kept since the topic was read as a whole.
@@ -55,7 +55,7 @@
 }
 
 impl Recent {
-    fn push(&mut self, passed: Passed) {
+    fn push(&mut self, passed: AddressedRecord) {
         self.note_newest(&passed.record);
         self.bytes += passed.size();
         self.records.push_back(passed);
@@ -232,7 +232,7 @@
     }
 
     /// Keeps the record that follows on the kept ones, to pass it on.
-    pub(crate) fn keep(&self, passed: Passed) {
+    pub(crate) fn keep(&self, passed: AddressedRecord) {
         self.recent.borrow_mut().push(passed);
     }
 
@@ -262,7 +262,7 @@
 
     /// Takes note that the view holds all that the store had acknowledged at this time. Whoever
     /// waits for a view that is current is told.
-    pub(crate) fn prove(&self, at: Moment) {
+    pub(crate) fn note_current_as_of(&self, at: Moment) {
         let was_stale = !self.is_within(STALE_AFTER);
         if self.proven_at.get().is_none_or(|before| before < at) {
             self.proven_at.set(Some(at));
--- a/crates/rampbay-jobs/src/intake.rs
+++ b/crates/rampbay-jobs/src/intake.rs
@@ -6,11 +6,11 @@
 
 use tokio::time::Instant;
 
-use crate::account::JobStatus;
 use crate::clock::Moment;
 use crate::drained::DrainOrders;
 use crate::freshness::Freshness;
 use crate::job::{JobId, Submission, WorkspaceName};
+use crate::plan::JobStatus;
 use crate::record::{Record, STATE_TOPIC};
 use crate::routing::{Queue, Routing};
 use crate::store::{AppendError, Store};
@@ -64,19 +64,19 @@
     /// Age of the table from which on the store is taken to be away.
     pub store_age: Duration,
     /// Calls that may wait for the store at once; more are refused.
-    pub most_waiting: usize,
+    pub max_waiting: usize,
     /// Oldest table out of which a job is said to be unknown, or pending jobs are counted.
     pub table_age: Duration,
 }
 
 /// How long a call may wait for the store.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct WaitBudget {
     /// Until when.
     pub until: Instant,
     /// Whether records are sent to a store that may not answer: then it stays unknown what became of
     /// them.
-    pub sends: bool,
+    pub may_send: bool,
 }
 
 /// What an entry knows of what operators want.
@@ -184,7 +184,7 @@
     /// Returns how long a call may wait for the store, given how long its caller waits. A caller who
     /// has time to come back is told so soon; one who hasn't is waited with to the end.
     #[must_use]
-    pub fn patience(&self, caller_waits: Option<Duration>) -> Patience {
+    pub fn wait_budget(&self, caller_waits: Option<Duration>) -> WaitBudget {
         let left = caller_waits.map_or(self.limits.usual_wait, |w| w.saturating_sub(ANSWER_MARGIN));
         let is_last = left <= LAST_WAIT;
         let is_away = !self.table_freshness.is_within(self.limits.store_age);
@@ -193,7 +193,7 @@
             (false, false) => self.limits.usual_wait.min(left),
             (false, true) => AWAY_WAIT,
         };
-        Patience { until: Instant::now() + wait, sends: is_last || !is_away }
+        WaitBudget { until: Instant::now() + wait, may_send: is_last || !is_away }
     }
 
     /// Checks queue and key of a call. Waits for a configuration that is known to be current.
@@ -204,7 +204,7 @@
     pub async fn admit(
         &self,
         target: CallTarget<'_>,
-        patience: Patience,
+        budget: WaitBudget,
     ) -> Result<Admission, Refusal> {
         let mut changes = self.routing.freshness.subscribe();
         loop {
@@ -214,7 +214,7 @@
                 settled => return settled,
             }
             let _guard = self.wait_for_store().ok_or(Refusal::NotCurrent)?;
-            if tokio::time::timeout_at(patience.until, changes.changed()).await.is_err() {
+            if tokio::time::timeout_at(budget.until, changes.changed()).await.is_err() {
                 return Err(Refusal::NotCurrent);
             }
         }
@@ -223,7 +223,7 @@
     /// Counts a call as waiting, unless too many wait already.
     fn wait_for_store(&self) -> Option<Waiting<'_>> {
         let waiting = self.waiting.get();
-        if waiting >= self.limits.most_waiting {
+        if waiting >= self.limits.max_waiting {
             return None;
         }
         self.waiting.set(waiting + 1);
@@ -250,11 +250,11 @@
     ///
     /// Returns [`Refusal::Unavailable`] if the job surely isn't kept, and [`Refusal::Unknown`]
     /// if it may be.
-    pub async fn submit(&self, submission: Submission, patience: Patience) -> Result<(), Refusal> {
+    pub async fn submit(&self, submission: Submission, budget: WaitBudget) -> Result<(), Refusal> {
         if self.table.borrow().jobs.contains_key(&submission.id) {
             return Ok(());
         }
-        self.keep(&Record::Submitted(Box::new(submission)), patience).await
+        self.keep(&Record::Submitted(Box::new(submission)), budget).await
     }
 
     /// Cancels a job.
@@ -263,17 +263,17 @@
     ///
     /// Returns [`Refusal::NoJob`] if there is no such job, or it has ended, and [`Refusal::NotCurrent`] if
     /// that couldn't be learnt in the call's time.
-    pub async fn cancel(&self, id: &JobId, patience: Patience) -> Result<(), Refusal> {
+    pub async fn cancel(&self, id: &JobId, budget: WaitBudget) -> Result<(), Refusal> {
         let known = self.table.borrow().status(id);
         let status = match known {
             Some(status) => status,
-            None => self.current_status(id, patience).await?,
+            None => self.current_status(id, budget).await?,
         };
         match status {
             JobStatus::Cancelled => Ok(()),
             JobStatus::Succeeded | JobStatus::Failed => Err(Refusal::NoJob),
             JobStatus::Queued | JobStatus::Running => {
-                self.keep(&Record::Cancelled(id.clone()), patience).await
+                self.keep(&Record::Cancelled(id.clone()), budget).await
             }
         }
     }
@@ -281,7 +281,7 @@
     /// Returns what became of a job, as of a moment after the call came. A caller who is told that there
     /// is no such job takes it as cancelled: in a table from before the call it may be missing although
     /// another entry has accepted it, and it would run on.
-    async fn current_status(&self, id: &JobId, patience: Patience) -> Result<JobStatus, Refusal> {
+    async fn current_status(&self, id: &JobId, budget: WaitBudget) -> Result<JobStatus, Refusal> {
         let asked = Moment::now();
         let _guard = self.wait_for_store().ok_or(Refusal::NotCurrent)?;
         loop {
@@ -291,10 +291,10 @@
             if self.table_freshness.is_within(asked.elapsed()) {
                 return Err(Refusal::NoJob);
             }
-            if Instant::now() >= patience.until {
+            if Instant::now() >= budget.until {
                 return Err(Refusal::NotCurrent);
             }
-            tokio::time::sleep_until((Instant::now() + TABLE_LOOK).min(patience.until)).await;
+            tokio::time::sleep_until((Instant::now() + TABLE_LOOK).min(budget.until)).await;
         }
     }
 
@@ -327,26 +327,26 @@
     }
 
     /// Appends a record, again and again until the store has it or the call's time is over.
-    async fn keep(&self, record: &Record, patience: Patience) -> Result<(), Refusal> {
+    async fn keep(&self, record: &Record, budget: WaitBudget) -> Result<(), Refusal> {
         let _guard = self.wait_for_store().ok_or(Refusal::Unavailable)?;
-        if !patience.sends {
+        if !budget.may_send {
             // Nothing is sent, so that the caller may be told that nothing was kept.
-            let regained = tokio::time::timeout_at(patience.until, self.store.regained());
+            let regained = tokio::time::timeout_at(budget.until, self.store.recovered());
             regained.await.map_err(|_| Refusal::Unavailable)?;
         }
         let records = [record.encode()];
         let mut refusal = Refusal::Unavailable;
         loop {
             let append = self.store.append(STATE_TOPIC, &records, None);
-            match tokio::time::timeout_at(patience.until, append).await {
+            match tokio::time::timeout_at(budget.until, append).await {
                 Ok(Ok(_)) => return Ok(()),
                 Ok(Err(AppendError::Unknown)) => refusal = Refusal::Unknown,
                 Ok(Err(AppendError::Refused | AppendError::Fenced)) => {}
                 Err(_) => return Err(Refusal::Unknown),
             }
-            let again = (Instant::now() + REPEAT_PAUSE).min(patience.until);
-            let _ = tokio::time::timeout_at(again, self.store.regained()).await;
-            if Instant::now() >= patience.until {
+            let again = (Instant::now() + REPEAT_PAUSE).min(budget.until);
+            let _ = tokio::time::timeout_at(again, self.store.recovered()).await;
+            if Instant::now() >= budget.until {
                 return Err(refusal);
             }
         }
--- a/crates/rampbay-jobs/src/job.rs
+++ b/crates/rampbay-jobs/src/job.rs
@@ -72,7 +72,7 @@
     }
 
     /// Gives `demand` back, less what it takes of `owed`.
-    pub const fn give_less(&mut self, demand: &Self, owed: &mut Self) {
+    pub const fn give_net_of(&mut self, demand: &Self, owed: &mut Self) {
         let mut left = *demand;
         left.take(owed);
         owed.take(demand);
--- a/crates/rampbay-jobs/src/keys.rs
+++ b/crates/rampbay-jobs/src/keys.rs
@@ -37,7 +37,7 @@
 
 /// Returns the key under which the end of a worker's registrations is kept.
 #[must_use]
-pub fn over_key(instance: &str) -> String {
+pub fn registrations_end_key(instance: &str) -> String {
     format!("over/{instance}")
 }
 
--- a/crates/rampbay-jobs/src/layer.rs
+++ b/crates/rampbay-jobs/src/layer.rs
@@ -16,7 +16,7 @@
 #[async_trait(?Send)]
 pub trait Layer {
     /// Returns the store below.
-    fn below(&self) -> &dyn Store;
+    fn inner(&self) -> &dyn Store;
 
     /// See [`Store::append`].
     async fn append(
@@ -25,47 +25,51 @@
         records: &[KeyedRecord],
         fence: Option<&Fence>,
     ) -> Result<Offset, AppendError> {
-        self.below().append(topic, records, fence).await
+        self.inner().append(topic, records, fence).await
     }
 
     /// See [`Store::report`].
     async fn report(&self, reports: &[KeyedRecord]) -> Result<(), AppendError> {
-        self.below().report(reports).await
+        self.inner().report(reports).await
     }
 
     /// See [`Store::read`].
     async fn read(&self, topic: &str, from: Offset, wait: Duration) -> Result<Batch, ReadError> {
-        self.below().read(topic, from, wait).await
+        self.inner().read(topic, from, wait).await
     }
 
     /// See [`Store::end`].
     async fn end(&self, topic: &str, known: Offset) -> Result<Offset, ReadError> {
-        self.below().end(topic, known).await
+        self.inner().end(topic, known).await
     }
 
     /// See [`Store::newest`].
     async fn newest(&self, topic: &str) -> Result<Snapshot, ReadError> {
-        self.below().newest(topic).await
+        self.inner().newest(topic).await
     }
 
-    /// See [`Store::stand`].
-    async fn stand(&self, member: &str, generation: u64) -> Result<Candidacy, ReadError> {
-        self.below().stand(member, generation).await
+    /// See [`Store::stand_for_election`].
+    async fn stand_for_election(
+        &self,
+        member: &str,
+        generation: u64,
+    ) -> Result<Candidacy, ReadError> {
+        self.inner().stand_for_election(member, generation).await
     }
 
     /// See [`Store::resign`].
     async fn resign(&self, member: &str) {
-        self.below().resign(member).await;
+        self.inner().resign(member).await;
     }
 
     /// See [`Store::holder`].
     async fn holder(&self) -> Result<Option<NodeName>, ReadError> {
-        self.below().holder().await
+        self.inner().holder().await
     }
 
-    /// See [`Store::regained`].
-    async fn regained(&self) {
-        self.below().regained().await;
+    /// See [`Store::recovered`].
+    async fn recovered(&self) {
+        self.inner().recovered().await;
     }
 }
 
@@ -96,8 +100,12 @@
         Layer::newest(self, topic).await
     }
 
-    async fn stand(&self, member: &str, generation: u64) -> Result<Candidacy, ReadError> {
-        Layer::stand(self, member, generation).await
+    async fn stand_for_election(
+        &self,
+        member: &str,
+        generation: u64,
+    ) -> Result<Candidacy, ReadError> {
+        Layer::stand_for_election(self, member, generation).await
     }
 
     async fn resign(&self, member: &str) {
@@ -108,7 +116,7 @@
         Layer::holder(self).await
     }
 
-    async fn regained(&self) {
-        Layer::regained(self).await;
+    async fn recovered(&self) {
+        Layer::recovered(self).await;
     }
 }
--- a/crates/rampbay-jobs/src/leader.rs
+++ b/crates/rampbay-jobs/src/leader.rs
@@ -13,7 +13,7 @@
 use crate::planner::{Planner, ProgressTable, RoundInputs};
 use crate::process::follow_progress;
 use crate::record::{KeyedRecord, Leader, Record, STATE_TOPIC};
-use crate::store::{AppendError, Fence, Offset, Store, appends};
+use crate::store::{AppendError, Fence, Offset, Store, split_into_appends};
 use crate::table::JobTable;
 
 /// Writer name that all leaders share, so that a newer one fences the older ones.
@@ -147,7 +147,7 @@
         metrics().round_seconds.observe(took.as_secs_f64());
         let gap = ROUND_GAP.max(took * ROUND_SHARE);
         let idle = records.is_empty();
-        for group in appends(&records) {
+        for group in split_into_appends(&records) {
             let end = writer.append(group).await?;
             parts.candidate.freshness.reach(end).await;
         }
@@ -174,7 +174,7 @@
         table: &table,
         routing: &routing,
         drained: &drained,
-        operators_age: operators.age(),
+        drain_orders_age: operators.age(),
         progress: &progress,
         now,
         wall: (parts.wall_clock)(),
--- a/crates/rampbay-jobs/src/lib.rs
+++ b/crates/rampbay-jobs/src/lib.rs
@@ -9,15 +9,12 @@
 //! store before its worker may forget it. So a planner that takes over knows every run that may
 //! exist, and nothing but the store has to last.
 //!
-//! Read [`job`], [`account`], [`record`], [`parts`], [`table`], then [`planner`] and [`agent`].
+//! Read [`job`], [`plan`], [`record`], [`parts`], [`table`], then [`planner`] and [`agent`].
 
-pub mod account;
 pub mod agent;
-pub mod audience;
 pub mod candidacy;
 pub mod clock;
 pub mod drained;
-pub mod echo;
 pub mod fencing;
 pub mod follower;
 pub mod freshness;
@@ -29,8 +26,11 @@
 pub mod losses;
 pub mod metrics;
 pub mod parts;
+pub mod plan;
 pub mod planner;
 pub mod process;
+pub mod read_your_writes;
+pub mod recipients;
 pub mod record;
 pub mod registrations;
 pub mod routing;
--- a/crates/rampbay-jobs/src/losses.rs
+++ b/crates/rampbay-jobs/src/losses.rs
@@ -15,7 +15,7 @@
 
 /// A run that may have begun at a life of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LastRun {
+pub struct InFlightRun {
     /// The task.
     pub task: TaskId,
     /// The run.
@@ -32,7 +32,7 @@
     /// Whether the worker had given notice that it leaves. What went with it then is no reason to suspect a task.
     pub gave_notice: bool,
     /// Runs that may have begun there; `None` where that isn't known, and all that were assigned may have.
-    pub runs: Option<Vec<LastRun>>,
+    pub runs: Option<Vec<InFlightRun>>,
 }
 
 /// Names tasks that are suspected together: a task, or all tasks of a gang, which stand under the first of them.
@@ -46,7 +46,7 @@
     pub index: u32,
 }
 
-impl LastRun {
+impl InFlightRun {
     /// Returns whether its worker went soon after its start.
     #[must_use]
     pub const fn went_soon(&self) -> bool {
--- a/crates/rampbay-jobs/src/metrics.rs
+++ b/crates/rampbay-jobs/src/metrics.rs
@@ -139,17 +139,17 @@
     }
 
     /// Counts a decision.
-    pub fn decided(&self, kind: &'static str) {
+    pub fn count_decision(&self, kind: &'static str) {
         self.decisions.get_or_create(&KindLabel { kind }).inc();
     }
 
     /// Counts an order.
-    pub fn ordered(&self, kind: &'static str) {
+    pub fn count_order(&self, kind: &'static str) {
         self.orders.get_or_create(&KindLabel { kind }).inc();
     }
 
     /// Counts an end.
-    pub fn ended(&self, kind: &'static str) {
+    pub fn count_end(&self, kind: &'static str) {
         self.ends.get_or_create(&KindLabel { kind }).inc();
     }
 
@@ -164,14 +164,14 @@
     }
 
     /// Counts a caller's call.
-    pub fn called(&self, method: &str, status: u16, took: Duration) {
+    pub fn record_call(&self, method: &str, status: u16, took: Duration) {
         let labels = CallLabels { method: method.to_owned(), status };
         self.calls.get_or_create(&labels).inc();
         self.call_seconds.observe(took.as_secs_f64());
     }
 
     /// Counts a call to the store.
-    pub fn stored(&self, labels: &StoreLabels) {
+    pub fn count_store_call(&self, labels: &StoreLabels) {
         self.store_calls.get_or_create(labels).inc();
     }
 
--- a/crates/rampbay-jobs/src/parts.rs
+++ b/crates/rampbay-jobs/src/parts.rs
@@ -5,7 +5,7 @@
 //! tasks stands in records of so many tasks each, beside the job's own record, and only those that changed are written.
 //! In the job's own record such a step is empty. Tasks of a part that was never written haven't begun.
 
-use crate::account::{JobPlan, Occurrence, TaskPlan};
+use crate::plan::{JobPlan, Occurrence, TaskPlan};
 use serde::Deserialize;
 
 use crate::job::{JobId, Submission, TaskId};
@@ -20,7 +20,7 @@
 /// How the store holds a job's account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AccountForm {
+pub enum PlanLayout {
     /// Wide steps in parts of their own.
     #[default]
     InParts,
@@ -35,17 +35,17 @@
 pub fn changes(
     id: &JobId,
     kept: Option<&JobPlan>,
-    form: AccountForm,
+    form: PlanLayout,
     new: &JobPlan,
 ) -> Vec<KeyedRecord> {
     let is_written = |first: &TaskId, tasks: &[TaskPlan]| {
-        form == AccountForm::InParts && is_kept(kept, first, tasks)
+        form == PlanLayout::InParts && is_kept(kept, first, tasks)
     };
     let changed = parts(id, new).filter(|(first, tasks)| !is_written(first, tasks));
     let mut records: Vec<KeyedRecord> =
         changed.map(|(first, tasks)| Record::Part(first, tasks.to_vec()).encode()).collect();
     let head = head(new);
-    if form == AccountForm::Whole || kept.map(self::head).as_ref() != Some(&head) {
+    if form == PlanLayout::Whole || kept.map(self::head).as_ref() != Some(&head) {
         records.push(Record::Plan(id.clone(), Box::new(head)).encode());
     }
     let is_open = |number: u32| new.open.iter().any(|open| open.number == number);
@@ -60,11 +60,11 @@
 pub fn changes_to_whole(
     id: &JobId,
     kept: Option<&JobPlan>,
-    form: AccountForm,
+    form: PlanLayout,
     new: &JobPlan,
 ) -> Vec<KeyedRecord> {
     let whole = Record::Plan(id.clone(), Box::new(new.clone())).encode();
-    let kept = kept.filter(|_| form == AccountForm::InParts);
+    let kept = kept.filter(|_| form == PlanLayout::InParts);
     let parts = kept.into_iter().flat_map(|kept| part_keys(id, kept));
     std::iter::once(whole).chain(parts.map(|(_, key)| removal(key))).collect()
 }
@@ -80,9 +80,9 @@
     submission: &Submission,
     known: Option<JobPlan>,
     mut head: JobPlan,
-) -> (JobPlan, AccountForm) {
+) -> (JobPlan, PlanLayout) {
     let mut known = known.unwrap_or_default();
-    let mut form = AccountForm::InParts;
+    let mut form = PlanLayout::InParts;
     for occurrence in &mut head.open {
         let before = known.open.iter_mut().find(|open| open.number == occurrence.number);
         let before = before.map(|open| std::mem::take(&mut open.steps)).unwrap_or_default();
@@ -92,7 +92,7 @@
             if tasks.is_empty() {
                 *tasks = before.unwrap_or_else(|| vec![TaskPlan::default(); step.count as usize]);
             } else if is_wide(tasks) {
-                form = AccountForm::Whole;
+                form = PlanLayout::Whole;
             }
         }
     }
@@ -109,7 +109,7 @@
 ) {
     let place = plan.open.partition_point(|open| open.number < first.occurrence);
     if plan.open.get(place).is_none_or(|open| open.number != first.occurrence) {
-        plan.open.insert(place, Occurrence::unbegun(submission, first.occurrence));
+        plan.open.insert(place, Occurrence::not_started(submission, first.occurrence));
     }
     let step = plan.open[place].steps.get_mut(first.step as usize);
     let from_first = step.and_then(|step| step.get_mut(first.index as usize..));
--- a/crates/rampbay-jobs/src/account.rs
+++ b/crates/rampbay-jobs/src/plan.rs
@@ -42,7 +42,7 @@
 impl TaskPlan {
     /// Returns whether a run of it may exist at its worker.
     #[must_use]
-    pub const fn occupies(&self) -> bool {
+    pub const fn may_be_running(&self) -> bool {
         matches!(self.status, TaskStatus::Running | TaskStatus::Stopping)
     }
 }
@@ -59,7 +59,7 @@
 impl Occurrence {
     /// Makes an occurrence none of whose tasks has begun.
     #[must_use]
-    pub fn unbegun(submission: &Submission, number: u32) -> Self {
+    pub fn not_started(submission: &Submission, number: u32) -> Self {
         let tasks = |count: u32| vec![TaskPlan::default(); count as usize];
         let steps = submission.steps.iter().map(|step| tasks(step.count)).collect();
         Self { number, steps }
@@ -157,12 +157,12 @@
     /// Iterates over the workers where runs of its tasks may exist, once for each.
     pub fn workers(&self) -> impl Iterator<Item = &InstanceId> {
         let tasks = self.open.iter().flat_map(|open| open.steps.iter().flatten());
-        tasks.filter(|task| task.occupies()).map(|task| &task.instance)
+        tasks.filter(|task| task.may_be_running()).map(|task| &task.instance)
     }
 
     /// Returns whether a run of one of its tasks may exist.
     #[must_use]
-    pub fn occupies(&self) -> bool {
+    pub fn may_be_running(&self) -> bool {
         self.workers().next().is_some()
     }
 }
--- a/crates/rampbay-jobs/src/planner.rs
+++ b/crates/rampbay-jobs/src/planner.rs
@@ -6,19 +6,18 @@
 //! and may be lost with it.
 
 mod allowance;
+mod departure;
 mod draft;
 mod drain;
 mod evict;
 mod exhausted;
 mod expire;
-mod fold;
 mod forecast;
 mod gang;
 pub mod health;
 mod isolate;
 mod lost;
 mod make_room;
-mod notice;
 mod pace;
 mod place;
 mod power_loss;
@@ -29,8 +28,9 @@
 mod reserve;
 mod room;
 mod running;
+mod settle;
 mod units;
-mod uptake;
+mod unreported;
 mod waits;
 mod watch;
 mod workers;
@@ -40,7 +40,7 @@
 
 use crate::drained::DrainedDomains;
 use crate::job::{EpochMillis, InstanceId, JobId};
-use crate::parts::AccountForm;
+use crate::parts::PlanLayout;
 use crate::record::KeyedRecord;
 use crate::routing::Routing;
 use crate::table::JobTable;
@@ -49,13 +49,13 @@
 pub use waits::WaitReason;
 
 use draft::Draft;
-use fold::SettledPlans;
 use forecast::Forecasts;
 use health::HealthBook;
 use lost::RecentlyLost;
 use pace::PaceBook;
 use power_loss::PowerLosses;
-use uptake::UnreportedRuns;
+use settle::SettledPlans;
+use unreported::UnreportedRuns;
 use waits::WaitBook;
 use workers::WorkerViews;
 
@@ -68,23 +68,23 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerSettings {
     /// Age of a report after which its worker gets no new work.
-    pub doubt_after: Duration,
+    pub suspect_after: Duration,
     /// Age of a report after which its worker's runs are given up.
     pub evict_after: Duration,
     /// Time after an eviction from which no run of the worker can exist any more.
-    pub gone_after: Duration,
+    pub remove_evicted_after: Duration,
     /// Time after a worker's good-bye from which none of its runs can exist any more.
-    pub departed_after: Duration,
+    pub remove_departed_after: Duration,
     /// Time without progress after which a run is moved.
     pub stall_after: Duration,
     /// How long a job is kept after its end.
-    pub keep_ended: Duration,
+    pub ended_job_retention: Duration,
     /// Oldest knowledge of what operators want under which runs are assigned.
-    pub operators_age: Duration,
+    pub max_drain_orders_age: Duration,
     /// How much longer work takes away from its data or spread over racks.
     pub remote_penalty: u64,
     /// How accounts are written.
-    pub account_form: AccountForm,
+    pub plan_layout: PlanLayout,
 }
 
 /// What one round goes by.
@@ -96,7 +96,7 @@
     /// The failure domains that operators have drained, as this process reads their orders.
     pub drained: &'a DrainedDomains,
     /// Age of what is known of the operators' orders; `None` before the first read.
-    pub operators_age: Option<Duration>,
+    pub drain_orders_age: Option<Duration>,
     /// Progress of the runs.
     pub progress: &'a ProgressTable,
     /// Steady time since the planner began.
@@ -190,13 +190,13 @@
         self.forecasts.update(inputs.table);
         let workers = WorkerViews::new(inputs, &self.known_since);
         let mut draft = Draft::new(inputs.table);
-        fold::take_in_ends(&mut draft, inputs, &mut self.health);
+        settle::take_in_ends(&mut draft, inputs, &mut self.health);
         if !std::mem::replace(&mut self.lost_runs_checked, true) {
             lost::give_up_lost_runs(self, &mut draft, inputs);
         }
         lost::give_up_crashing(&mut draft);
-        fold::cancel(&mut draft);
-        fold::settle(&mut draft, inputs, &mut self.settled);
+        settle::cancel(&mut draft);
+        settle::settle(&mut draft, inputs, &mut self.settled);
         drain::record(&mut draft, inputs);
         evict::evict(self, &mut draft, &workers, inputs);
         evict::give_up_departed(self, &mut draft, inputs);
@@ -210,7 +210,7 @@
         self.waits.update(&waits, inputs.now);
         expire::expire(self, &mut draft, inputs);
         expire::expire_registrations(self, &mut draft, inputs);
-        draft.into_records(self.settings.account_form)
+        draft.into_records(self.settings.plan_layout)
     }
 
     /// Returns why a step of a job waits, if it does.
@@ -234,7 +234,7 @@
     fn note_lost_workers(&mut self, inputs: &RoundInputs<'_>) {
         let table = inputs.table;
         let gave_notice = |instance: &InstanceId| {
-            table.lives_over.get(instance).is_some_and(|over| over.gave_notice)
+            table.ended_incarnations.get(instance).is_some_and(|over| over.gave_notice)
         };
         let gone = self
             .known_since
--- a/crates/rampbay-jobs/src/planner/draft.rs
+++ b/crates/rampbay-jobs/src/planner/draft.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use crate::account::{JobPlan, TaskStatus};
 use crate::job::{JobId, Submission, TaskId};
 use crate::losses::JobLosses;
-use crate::parts::{AccountForm, changes, changes_to_whole};
+use crate::parts::{PlanLayout, changes, changes_to_whole};
+use crate::plan::{JobPlan, TaskStatus};
 use crate::record::{KeyedRecord, Record, removal};
 use crate::table::JobTable;
 
@@ -113,7 +113,7 @@
     /// the accounts that no longer name the lost runs. A leader that goes between the two leaves a loss that the
     /// next one finds again, and counts once.
     /// Accounts are written in the form that is wanted.
-    pub fn into_records(self, wanted: AccountForm) -> Vec<KeyedRecord> {
+    pub fn into_records(self, wanted: PlanLayout) -> Vec<KeyedRecord> {
         let table = self.table;
         let is_new = |id: &JobId, plan: &JobPlan| {
             table.jobs.get(id).and_then(|job| job.plan.as_deref()) != Some(plan)
@@ -122,10 +122,10 @@
         let plans = plans.flat_map(|(id, plan)| {
             let job = table.jobs.get(&id);
             let kept = job.and_then(|job| job.plan.as_deref());
-            let form = job.map(|job| job.account_form).unwrap_or_default();
+            let form = job.map(|job| job.plan_layout).unwrap_or_default();
             match wanted {
-                AccountForm::InParts => changes(&id, kept, form, &plan),
-                AccountForm::Whole => changes_to_whole(&id, kept, form, &plan),
+                PlanLayout::InParts => changes(&id, kept, form, &plan),
+                PlanLayout::Whole => changes_to_whole(&id, kept, form, &plan),
             }
         });
         let is_new_loss =
--- a/crates/rampbay-jobs/src/planner/drain.rs
+++ b/crates/rampbay-jobs/src/planner/drain.rs
@@ -19,7 +19,7 @@
         inputs.drained.names,
         known.names,
         inputs.drained.read_to,
-        inputs.operators_age.unwrap_or_default().as_millis()
+        inputs.drain_orders_age.unwrap_or_default().as_millis()
     );
     metrics().drained_domains.set(inputs.drained.names.len() as i64);
     draft.add(Record::Drained(inputs.drained.clone()).encode());
@@ -27,11 +27,11 @@
 
 /// Returns whether the operators' orders are known well enough to assign runs, and tells when that changes.
 pub fn check_known(planner: &mut Planner, inputs: &RoundInputs<'_>) -> bool {
-    let limit = planner.settings.operators_age;
-    let is_known = inputs.operators_age.is_some_and(|age| age <= limit);
+    let limit = planner.settings.max_drain_orders_age;
+    let is_known = inputs.drain_orders_age.is_some_and(|age| age <= limit);
     let was_known = std::mem::replace(&mut planner.knows_operators, is_known);
     if is_known != was_known {
-        let age_ms = inputs.operators_age.map_or(-1, |age| age.as_millis() as i128);
+        let age_ms = inputs.drain_orders_age.map_or(-1, |age| age.as_millis() as i128);
         log::info!(
             "event=J146 operators' orders known={is_known} age_ms={age_ms} limit_ms={}",
             limit.as_millis()
--- a/crates/rampbay-jobs/src/planner/evict.rs
+++ b/crates/rampbay-jobs/src/planner/evict.rs
@@ -21,7 +21,7 @@
     for instance in &inputs.table.evicted {
         // A planner that takes over counts from its own start: later, never earlier.
         let since = *planner.evicted_since.entry(instance.clone()).or_insert(inputs.now);
-        if inputs.now.saturating_sub(since) < planner.settings.gone_after {
+        if inputs.now.saturating_sub(since) < planner.settings.remove_evicted_after {
             continue;
         }
         log::warn!("event=J141 worker given up worker={instance}");
@@ -54,7 +54,7 @@
         // A planner that takes over counts from its own start: later, never earlier.
         let since = *planner.departed_since.entry(instance.clone()).or_insert(inputs.now);
         let waited = inputs.now.saturating_sub(since);
-        if waited < planner.settings.departed_after {
+        if waited < planner.settings.remove_departed_after {
             continue;
         }
         log::warn!(
@@ -83,7 +83,7 @@
             view.record.node,
             view.report_age.as_millis()
         );
-        metrics().decided("evict");
+        metrics().count_decision("evict");
         let newest = inputs.table.registrations().newest(view.instance);
         let number = newest.map_or(0, |(number, _)| number);
         let value = Record::Evicted(view.instance.clone()).encode().value;
--- a/crates/rampbay-jobs/src/planner/expire.rs
+++ b/crates/rampbay-jobs/src/planner/expire.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::job::JobId;
-use crate::keys::{life_key, losses_key, over_key, plan_key, worker_key};
+use crate::keys::{life_key, losses_key, plan_key, registrations_end_key, worker_key};
 use crate::parts::part_keys;
 use crate::record::Record;
 
@@ -32,10 +32,9 @@
             planner.ended_since.insert(id.clone(), inputs.now);
         }
     }
-    let old = planner
-        .ended_since
-        .iter()
-        .filter(|(_, since)| inputs.now.saturating_sub(**since) >= planner.settings.keep_ended);
+    let old = planner.ended_since.iter().filter(|(_, since)| {
+        inputs.now.saturating_sub(**since) >= planner.settings.ended_job_retention
+    });
     let old: Vec<JobId> = old.map(|(id, _)| id.clone()).take(MOST_REMOVALS).collect();
     for id in old {
         remove(draft, &id);
@@ -56,15 +55,17 @@
         draft.remove(worker_key(instance, *number));
     }
     let known = &mut planner.over_since;
-    if known.len() != registrations.ended().count() {
-        known.retain(|instance, _| registrations.ended().any(|ended| ended == instance));
-        for instance in registrations.ended() {
+    if known.len() != registrations.workers_with_ended().count() {
+        known.retain(|instance, _| {
+            registrations.workers_with_ended().any(|ended| ended == instance)
+        });
+        for instance in registrations.workers_with_ended() {
             known.entry(instance.clone()).or_insert(inputs.now);
         }
     }
     let old = known.iter().filter(|(_, since)| inputs.now.saturating_sub(**since) >= KEEP_OVER);
     for (instance, _) in old {
-        draft.remove(over_key(instance));
+        draft.remove(registrations_end_key(instance));
         draft.remove(life_key(instance));
     }
 }
--- a/crates/rampbay-jobs/src/planner/lost.rs
+++ b/crates/rampbay-jobs/src/planner/lost.rs
@@ -5,14 +5,14 @@
 
 use tokio::time::Instant;
 
-use crate::account::{TaskPlan, TaskStatus};
 use crate::job::{InstanceId, JobId, TaskId};
-use crate::losses::{LastRun, LostRun, UnitKey};
+use crate::losses::{InFlightRun, LostRun, UnitKey};
 use crate::metrics::metrics;
+use crate::plan::{TaskPlan, TaskStatus};
 use crate::record::{EndReason, RunEnd};
 
 use super::draft::Draft;
-use super::fold::take_in_end;
+use super::settle::take_in_end;
 use super::{Planner, RoundInputs};
 
 /// Runs that were started within this time of each other, in milliseconds, are equally young: more than the orders
@@ -76,8 +76,9 @@
 
 fn lost_runs(draft: &Draft<'_>, id: &JobId) -> Vec<Lost> {
     let Some(plan) = draft.plan(id) else { return Vec::new() };
-    let is_lost =
-        |task: &TaskPlan| task.occupies() && !draft.table.workers.contains_key(&task.instance);
+    let is_lost = |task: &TaskPlan| {
+        task.may_be_running() && !draft.table.workers.contains_key(&task.instance)
+    };
     let lost = plan.tasks_where(id, is_lost).filter_map(|task| {
         let known = plan.task(&task)?;
         Some(Lost { attempt: known.attempt, instance: known.instance.clone(), task })
@@ -95,7 +96,7 @@
         report.age.as_millis(),
         report.is_heard
     );
-    metrics().decided("give_up");
+    metrics().count_decision("give_up");
 }
 
 fn give_up(draft: &mut Draft<'_>, inputs: &RoundInputs<'_>, run: Lost) {
@@ -129,7 +130,7 @@
     instance: &InstanceId,
     lost: &[Lost],
 ) {
-    let over = inputs.table.lives_over.get(instance);
+    let over = inputs.table.ended_incarnations.get(instance);
     if over.is_some_and(|over| over.gave_notice) {
         return;
     }
@@ -147,7 +148,7 @@
         let last = begun.and_then(|runs| find(runs, run));
         let age_ms = last.map(|last| last.age_ms);
         let is_youngest = age_ms.zip(youngest).is_some_and(|(age, most)| age <= most);
-        let is_proof = is_alone && last.is_some_and(LastRun::went_soon);
+        let is_proof = is_alone && last.is_some_and(InFlightRun::went_soon);
         let (id, unit) = unit_of(draft, &run.task);
         let lost_run = LostRun {
             attempt: run.attempt,
@@ -173,14 +174,14 @@
 }
 
 /// Returns up to which age a run stands out as the youngest, in milliseconds; `None` where too many are of one age.
-fn youngest_age_ms(draft: &Draft<'_>, runs: &[LastRun]) -> Option<u64> {
+fn youngest_age_ms(draft: &Draft<'_>, runs: &[InFlightRun]) -> Option<u64> {
     let age_ms = runs.iter().map(|run| run.age_ms).min()? + SAME_AGE_MS;
     let youngest = runs.iter().filter(|run| run.age_ms <= age_ms);
     let units: BTreeSet<(JobId, UnitKey)> = youngest.map(|run| unit_of(draft, &run.task)).collect();
     (units.len() <= MOST_YOUNGEST).then_some(age_ms)
 }
 
-fn find<'a>(runs: &'a [LastRun], lost: &Lost) -> Option<&'a LastRun> {
+fn find<'a>(runs: &'a [InFlightRun], lost: &Lost) -> Option<&'a InFlightRun> {
     runs.iter().find(|run| run.task == lost.task && run.attempt == lost.attempt)
 }
 
@@ -235,7 +236,7 @@
         losses.proofs(),
         losses.0.iter().map(|lost| &lost.node).collect::<Vec<_>>()
     );
-    metrics().decided("give_up_crashing");
+    metrics().count_decision("give_up_crashing");
     if let Some(task) = draft.edit(id).task_mut(&task) {
         task.status = TaskStatus::Failed;
     }
--- a/crates/rampbay-jobs/src/planner/make_room.rs
+++ b/crates/rampbay-jobs/src/planner/make_room.rs
@@ -92,7 +92,7 @@
     for &victim in &preemption.victims {
         let unit = &mut units.units[victim];
         unit.is_stopped = true;
-        metrics().decided("stop_for_urgent");
+        metrics().count_decision("stop_for_urgent");
         log::info!(
             "event=J151 run stopped for urgent work task={} for_job={} priority={priority} workspace={} guaranteed={} lost_work={} cost={} allowed={allowed}",
             unit.first,
--- a/crates/rampbay-jobs/src/planner/pace.rs
+++ b/crates/rampbay-jobs/src/planner/pace.rs
@@ -7,8 +7,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::account::JobPlan;
 use crate::job::{InstanceId, JobId, Step, TaskId};
+use crate::plan::JobPlan;
 
 use super::draft::Draft;
 use super::forecast::Forecasts;
@@ -161,7 +161,7 @@
 ) -> Option<f64> {
     let plan = draft.plan(&task.job)?;
     let current = plan.task(task)?;
-    if !current.occupies() || current.attempt != *attempt {
+    if !current.may_be_running() || current.attempt != *attempt {
         return None;
     }
     let submission = draft.submission(&task.job)?;
--- a/crates/rampbay-jobs/src/planner/place.rs
+++ b/crates/rampbay-jobs/src/planner/place.rs
@@ -1,9 +1,9 @@
 //! Starts what waits where it fits.
 
-use crate::account::{JobPlan, JobStatus, Occurrence, TaskStatus};
 use crate::job::{Checkpoint, InstanceId};
 use crate::losses::Isolation;
 use crate::metrics::metrics;
+use crate::plan::{JobPlan, JobStatus, Occurrence, TaskStatus};
 
 use super::draft::Draft;
 use super::gang::{Need, Trial, place_all, place_in_rack};
@@ -269,7 +269,7 @@
         task.checkpoint = checkpoint;
     }
     instance.clone_into(&mut task.instance);
-    metrics().decided("start");
+    metrics().count_decision("start");
     log::info!(
         "event=J150 run assigned task={id} attempt={} worker={instance} priority={} guaranteed={}",
         task.attempt,
@@ -281,7 +281,7 @@
 /// Opens occurrences up to the one that starts.
 fn open_until(plan: &mut JobPlan, waiting: &WaitingStep) {
     while plan.next_occurrence <= waiting.occurrence {
-        plan.open.push(Occurrence::unbegun(&waiting.submission, plan.next_occurrence));
+        plan.open.push(Occurrence::not_started(&waiting.submission, plan.next_occurrence));
         plan.next_occurrence += 1;
     }
 }
--- a/crates/rampbay-jobs/src/planner/preempt.rs
+++ b/crates/rampbay-jobs/src/planner/preempt.rs
@@ -116,7 +116,7 @@
         for (index, &place) in self.places.iter().enumerate() {
             let (mut free, mut owed) = (self.free[index], self.owed[index]);
             for unit in self.units.at(place, self.need.priority) {
-                self.units.held_at(unit, place).for_each(|held| free.give_less(held, &mut owed));
+                self.units.held_at(unit, place).for_each(|held| free.give_net_of(held, &mut owed));
             }
             left = left.saturating_sub(u64::from(self.need.most_at(&free, self.there(index))));
             if left == 0 {
@@ -150,7 +150,7 @@
             for (at, held) in &self.units.units[unit].held {
                 // What a gang holds elsewhere doesn't help here.
                 let Ok(index) = self.places.binary_search(at) else { continue };
-                self.free[index].give_less(held, &mut self.owed[index]);
+                self.free[index].give_net_of(held, &mut self.owed[index]);
                 changed.push(index);
             }
         }
@@ -218,7 +218,7 @@
             if !helps {
                 continue;
             }
-            self.units.held_at(unit, place).for_each(|held| free.give_less(held, &mut owed));
+            self.units.held_at(unit, place).for_each(|held| free.give_net_of(held, &mut owed));
             stops.push(unit);
         }
         free.fits(demand).then_some(stops)
--- a/crates/rampbay-jobs/src/planner/queue.rs
+++ b/crates/rampbay-jobs/src/planner/queue.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use crate::account::{JobStatus, Occurrence, TaskPlan, TaskStatus};
 use crate::job::{EpochMillis, JobId, Step, Submission, TaskId, WorkspaceName};
+use crate::plan::{JobStatus, Occurrence, TaskPlan, TaskStatus};
 
 use super::RoundInputs;
 use super::draft::Draft;
@@ -102,7 +102,11 @@
         }
         let mut next = plan.map_or(0, |plan| plan.next_occurrence);
         while next < submission.occurrence_count() && is_due(&submission, next, inputs.wall) {
-            waiting.extend(ready_steps(terms, &Occurrence::unbegun(&submission, next), forecasts));
+            waiting.extend(ready_steps(
+                terms,
+                &Occurrence::not_started(&submission, next),
+                forecasts,
+            ));
             next += 1;
         }
     }
--- a/crates/rampbay-jobs/src/planner/room.rs
+++ b/crates/rampbay-jobs/src/planner/room.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use crate::account::TaskStatus;
 use crate::job::{InstanceId, JobId, Resources, Step, Submission, TaskId};
+use crate::plan::TaskStatus;
 use crate::record::WorkerRecord;
 
 use super::draft::Draft;
@@ -128,7 +128,9 @@
             for (number, (tasks, step)) in
                 occurrence.steps.iter().zip(&submission.steps).enumerate()
             {
-                for (index, task) in tasks.iter().enumerate().filter(|(_, task)| task.occupies()) {
+                for (index, task) in
+                    tasks.iter().enumerate().filter(|(_, task)| task.may_be_running())
+                {
                     let Some(place) = workers.place(&task.instance) else { continue };
                     let held = step.charge();
                     let missing = self.free[place].missing_for(&held);
@@ -162,7 +164,7 @@
 
     /// Takes note that something becomes free by a stop.
     pub fn free_soon(&mut self, place: Place, held: &Resources) {
-        self.rooms[place].freed_soon.give_less(held, &mut self.owed[place]);
+        self.rooms[place].freed_soon.give_net_of(held, &mut self.owed[place]);
     }
 
     /// Closes the workers where runs of a job are kept apart from others.
@@ -177,7 +179,7 @@
             return;
         }
         let Some(plan) = draft.plan(id) else { return };
-        for (task_id, task) in plan.tasks(id).filter(|(_, task)| task.occupies()) {
+        for (task_id, task) in plan.tasks(id).filter(|(_, task)| task.may_be_running()) {
             let Some(place) = workers.place(&task.instance) else { continue };
             self.closed[place] |= is_isolated(draft, &task_id, task.attempt, inputs);
         }
@@ -269,7 +271,7 @@
     racks: &[String],
     inputs: &RoundInputs<'_>,
 ) -> Room {
-    let doubt_after = planner.settings.doubt_after;
+    let suspect_after = planner.settings.suspect_after;
     let rack = view.record.rack();
     Room {
         instance: view.instance.clone(),
@@ -279,8 +281,8 @@
             && !keeps_off(view.record, inputs)
             && !planner.health.is_blocked(view.instance, inputs.now)
             && !inputs.table.evicted.contains(view.instance)
-            && view.report_age < doubt_after
-            && view.silent < doubt_after,
+            && view.report_age < suspect_after
+            && view.silent < suspect_after,
         avoided: planner.health.is_avoided(view.instance, inputs.now)
             || planner.pace.is_slow(view.instance),
         speed: planner.pace.machine_speed(view.instance),
--- a/crates/rampbay-jobs/src/planner/fold.rs
+++ b/crates/rampbay-jobs/src/planner/settle.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use crate::account::{JobPlan, JobStatus, TaskPlan, TaskStatus};
 use crate::job::{JobId, Step, Submission, TaskId};
 use crate::keys::split_refusal_key;
+use crate::plan::{JobPlan, JobStatus, TaskPlan, TaskStatus};
 use crate::record::{EndReason, RunEnd};
 use crate::table::JobTable;
 
@@ -61,7 +61,7 @@
     let Some(step) = submission.steps.get(end.task.step as usize) else { return };
     let current = draft.plan(&end.task.job).and_then(|plan| plan.task(&end.task));
     let Some(current) = current else { return };
-    let is_current = current.occupies() && current.attempt == end.attempt;
+    let is_current = current.may_be_running() && current.attempt == end.attempt;
     if !is_current {
         log::info!(
             "event=J131 stale end task={} attempt={} current={} reason={:?}",
@@ -117,7 +117,7 @@
         }
         task.failed_attempt = end.attempt;
         task.failures += 1;
-        if task.failures >= submission.attempts.max(1) && !task.occupies() {
+        if task.failures >= submission.attempts.max(1) && !task.may_be_running() {
             task.status = TaskStatus::Failed;
         }
     }
@@ -210,7 +210,7 @@
 
 fn settle_gang(tasks: &mut [TaskPlan], attempts: u32) {
     let any_done = tasks.iter().any(|task| task.status == TaskStatus::Done);
-    for task in tasks.iter_mut().filter(|task| !task.occupies()) {
+    for task in tasks.iter_mut().filter(|task| !task.may_be_running()) {
         if any_done {
             task.status = TaskStatus::Done;
         } else if task.failures >= attempts {
--- a/crates/rampbay-jobs/src/planner/watch.rs
+++ b/crates/rampbay-jobs/src/planner/watch.rs
@@ -4,14 +4,14 @@
 
 use tokio::time::Instant;
 
-use crate::account::{TaskPlan, TaskStatus};
 use crate::job::{Step, Submission, TaskId};
 use crate::metrics::metrics;
+use crate::plan::{TaskPlan, TaskStatus};
 
+use super::departure::{NoticedRun, Rest};
 use super::draft::Draft;
-use super::notice::{NoticedRun, Rest};
 use super::progress::{FULL_PERCENT, Seen};
-use super::uptake::UnreportedRuns;
+use super::unreported::UnreportedRuns;
 use super::workers::{WorkerView, WorkerViews};
 use super::{Planner, RoundInputs};
 
@@ -66,7 +66,7 @@
             }
         }
         for task in moved {
-            metrics().decided("move");
+            metrics().count_decision("move");
             draft.stop_unit(&task);
         }
     }
@@ -142,8 +142,8 @@
             Duration::from_millis(self.step.estimate_ms * planner.settings.remote_penalty);
         let patience =
             planner.settings.stall_after + if past_estimate { longest } else { Duration::ZERO };
-        let doubt_after = planner.settings.doubt_after;
-        let is_heard = self.worker.report_age < doubt_after && self.worker.silent < doubt_after;
+        let suspect_after = planner.settings.suspect_after;
+        let is_heard = self.worker.report_age < suspect_after && self.worker.silent < suspect_after;
         (is_heard && inputs.progress.same_for(seen) > patience).then_some(seen.percent)
     }
 }
--- a/crates/rampbay-jobs/src/process.rs
+++ b/crates/rampbay-jobs/src/process.rs
@@ -4,12 +4,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::audience::Passed;
 use crate::clock::Moment;
-use crate::follower::{Pace, Sink, follow, take_in};
+use crate::follower::{Pace, Sink, apply_record, follow};
 use crate::freshness::Freshness;
 use crate::job::NodeName;
 use crate::planner::ProgressTable;
+use crate::recipients::AddressedRecord;
 use crate::record::{KeyedRecord, Member, PROGRESS_TOPIC, Record, STATE_TOPIC};
 use crate::store::{Offset, ReadError, Snapshot, Store};
 use crate::table::JobTable;
@@ -46,8 +46,8 @@
         self.table.borrow_mut().apply(record);
     }
 
-    fn apply_and_tell(&mut self, record: &KeyedRecord) -> Passed {
-        self.table.borrow_mut().apply_and_tell(record)
+    fn apply_and_address(&mut self, record: &KeyedRecord) -> AddressedRecord {
+        self.table.borrow_mut().apply_and_address(record)
     }
 
     fn has_gap(&self) -> bool {
@@ -86,18 +86,18 @@
 
     /// Takes in records that this process has appended itself, if they follow on what it holds.
     /// `end` is the offset after them; `sent` is when they were sent, if they surely weren't appended before.
-    pub(crate) fn take_in(&self, end: Offset, records: &[KeyedRecord], sent: Option<Moment>) {
+    pub(crate) fn apply_own(&self, end: Offset, records: &[KeyedRecord], sent: Option<Moment>) {
         let known = self.freshness.position();
         if self.freshness.age().is_none() || known + records.len() as u64 != end {
             return;
         }
         let mut sink = self.sink();
         for record in records {
-            take_in(&mut sink, &self.freshness, record);
+            apply_record(&mut sink, &self.freshness, record);
         }
         // Nothing lies between the table and the append, so the table was current when it was sent.
         if let Some(sent) = sent {
-            self.freshness.prove(sent);
+            self.freshness.note_current_as_of(sent);
         }
         self.freshness.move_to(end);
     }
@@ -134,7 +134,7 @@
         self.0.borrow_mut().apply(record);
     }
 
-    fn read(&mut self) {
+    fn note_read(&mut self) {
         self.0.borrow_mut().note_read(tokio::time::Instant::now());
     }
 }
--- a/crates/rampbay-jobs/src/echo.rs
+++ b/crates/rampbay-jobs/src/read_your_writes.rs
@@ -14,12 +14,12 @@
 use async_trait::async_trait;
 
 /// A store whose appends go into a table at once.
-pub struct EchoStore {
+pub struct ReadYourWritesStore {
     store: Rc<dyn Store>,
     live: LiveTable,
 }
 
-impl EchoStore {
+impl ReadYourWritesStore {
     /// Makes a store over another, with the table that this process keeps.
     #[must_use]
     pub fn new(store: Rc<dyn Store>, live: LiveTable) -> Self {
@@ -28,8 +28,8 @@
 }
 
 #[async_trait(?Send)]
-impl Layer for EchoStore {
-    fn below(&self) -> &dyn Store {
+impl Layer for ReadYourWritesStore {
+    fn inner(&self) -> &dyn Store {
         self.store.as_ref()
     }
 
@@ -44,7 +44,7 @@
         let sent = fence.is_none().then(Moment::now);
         let end = self.store.append(topic, records, fence).await?;
         if topic == STATE_TOPIC {
-            self.live.take_in(end, records, sent);
+            self.live.apply_own(end, records, sent);
         }
         Ok(end)
     }
--- a/crates/rampbay-jobs/src/audience.rs
+++ b/crates/rampbay-jobs/src/recipients.rs
@@ -7,19 +7,19 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use crate::account::JobPlan;
 use crate::job::{NodeName, TaskId};
 use crate::keys::{account_job, plan_key, split_worker_key};
 use crate::parts::tasks_from;
+use crate::plan::JobPlan;
 use crate::record::{KeyedRecord, Member, Record};
 use crate::table::JobTable;
 
-/// About how many bytes a kept record takes beside its own: its place, its audience and what they point to.
+/// About how many bytes a kept record takes beside its own: its place, its recipients and what they point to.
 const KEEPING_OVERHEAD: usize = 200;
 
 /// Whom a record concerns.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Audience {
+pub enum Recipients {
     /// Every process.
     #[default]
     All,
@@ -27,7 +27,7 @@
     Agents(BTreeSet<NodeName>),
 }
 
-impl Audience {
+impl Recipients {
     /// Returns whether an agent needs the record.
     #[must_use]
     pub fn includes(&self, agent: &str) -> bool {
@@ -40,45 +40,45 @@
 
 /// A record that was taken in, and whom to pass it on to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Passed {
+pub struct AddressedRecord {
     /// The record.
     pub record: Rc<KeyedRecord>,
     /// Whom it concerns.
-    pub audience: Audience,
+    pub recipients: Recipients,
     /// For an account: the job that it is of, and the agents that haven't had it yet.
-    pub introduction: Option<Introduction>,
+    pub attached_job: Option<AttachedJob>,
 }
 
-impl Passed {
+impl AddressedRecord {
     /// Makes a record that concerns every process.
     #[must_use]
-    pub fn to_all(record: KeyedRecord) -> Self {
-        Self { record: Rc::new(record), audience: Audience::All, introduction: None }
+    pub fn for_all(record: KeyedRecord) -> Self {
+        Self { record: Rc::new(record), recipients: Recipients::All, attached_job: None }
     }
 
     /// Returns about how many bytes it takes to keep.
     #[must_use]
     pub fn size(&self) -> usize {
-        let job = self.introduction.as_ref().map_or(0, |introduction| introduction.job.size());
+        let job = self.attached_job.as_ref().map_or(0, |attached_job| attached_job.job.size());
         KEEPING_OVERHEAD + self.record.size() + job
     }
 
     /// Iterates over what an agent needs of it, the job before its account.
     pub fn records_for(&self, agent: &str) -> impl Iterator<Item = KeyedRecord> + use<> {
-        let introduction = self.introduction.as_ref().filter(|intro| intro.agents.includes(agent));
-        let job = introduction.map(|introduction| introduction.job.clone());
-        let record = self.audience.includes(agent).then(|| self.record.as_ref().clone());
+        let attached_job = self.attached_job.as_ref().filter(|intro| intro.agents.includes(agent));
+        let job = attached_job.map(|attached_job| attached_job.job.clone());
+        let record = self.recipients.includes(agent).then(|| self.record.as_ref().clone());
         job.into_iter().chain(record)
     }
 }
 
 /// A job that is sent along with its account.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Introduction {
+pub struct AttachedJob {
     /// The job's record.
     pub job: KeyedRecord,
     /// The agents that get it: their workers had no run of it before.
-    pub agents: Audience,
+    pub agents: Recipients,
 }
 
 /// Whom the value of a key concerns.
@@ -105,20 +105,20 @@
     /// Takes in one record, and tells whom it concerns: the agents that its value concerned before,
     /// and those that it concerns now. What concerns a worker that is gone is passed on to its agent still, or
     /// to all where it isn't known: an agent that isn't told that its run was given up goes on with it.
-    pub fn apply_and_tell(&mut self, record: &KeyedRecord) -> Passed {
+    pub fn apply_and_address(&mut self, record: &KeyedRecord) -> AddressedRecord {
         let before = self.concerned(&record.key);
         self.apply(record);
         let after = self.concerned(&record.key);
         let (Some(before), Some(after)) = (before, after) else {
-            return Passed::to_all(record.clone());
+            return AddressedRecord::for_all(record.clone());
         };
-        let introduction = self.introduction(&record.key, &before, &after);
-        let audience = if before.others || after.others {
-            Audience::All
+        let attached_job = self.attached_job(&record.key, &before, &after);
+        let recipients = if before.others || after.others {
+            Recipients::All
         } else {
-            Audience::Agents(before.agents.into_iter().chain(after.agents).collect())
+            Recipients::Agents(before.agents.into_iter().chain(after.agents).collect())
         };
-        Passed { record: Rc::new(record.clone()), audience, introduction }
+        AddressedRecord { record: Rc::new(record.clone()), recipients, attached_job }
     }
 
     /// Returns whether an agent that begins to follow needs the record under a key: the job before its account, and
@@ -128,9 +128,9 @@
         match key.split_once('/') {
             Some(("job", id)) => self.includes_agent(&plan_key(id), agent),
             Some(("member", name)) => {
-                let any_ample = || self.members.values().any(Member::passes_on_amply);
+                let any_ample = || self.members.values().any(Member::is_well_provisioned_relay);
                 let is_read_through = |member: &Member| {
-                    member.passes_on_amply() || (member.passes_on && !any_ample())
+                    member.is_well_provisioned_relay() || (member.passes_on && !any_ample())
                 };
                 name == agent || self.members.get(name).is_some_and(is_read_through)
             }
@@ -143,20 +143,20 @@
         concerned.is_none_or(|concerned| concerned.others || concerned.agents.contains(agent))
     }
 
-    fn introduction(
+    fn attached_job(
         &self,
         key: &str,
         before: &Concerned,
         after: &Concerned,
-    ) -> Option<Introduction> {
+    ) -> Option<AttachedJob> {
         let job = self.jobs.get(account_job(key)?)?;
         let new: BTreeSet<NodeName> = after.agents.difference(&before.agents).cloned().collect();
-        let agents = if after.others { Audience::All } else { Audience::Agents(new) };
-        if agents == Audience::Agents(BTreeSet::new()) {
+        let agents = if after.others { Recipients::All } else { Recipients::Agents(new) };
+        if agents == Recipients::Agents(BTreeSet::new()) {
             return None;
         }
         let job = Record::Submitted(Box::new(job.submission.as_ref().clone())).encode();
-        Some(Introduction { job, agents })
+        Some(AttachedJob { job, agents })
     }
 
     /// Returns the agents that the present value of a key concerns; `None` for all processes.
@@ -175,7 +175,7 @@
                 let first: TaskId = name.parse().ok()?;
                 let plan = self.jobs.get(&first.job).and_then(|job| job.plan.as_deref());
                 let tasks = plan.into_iter().flat_map(|plan| tasks_from(plan, &first));
-                let tasks = tasks.filter(|task| task.occupies());
+                let tasks = tasks.filter(|task| task.may_be_running());
                 tasks.for_each(|task| concerned.extend(self.agent_of(&task.instance)));
             }
             "end" | "refusal" => {
--- a/crates/rampbay-jobs/src/record.rs
+++ b/crates/rampbay-jobs/src/record.rs
@@ -2,17 +2,17 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::account::{JobPlan, TaskPlan};
 use crate::drained::DrainedDomains;
 use crate::job::{
     Checkpoint, EpochMillis, InstanceId, JobId, NodeName, Resources, ServiceName, Submission,
     TaskId,
 };
 use crate::keys::{
-    end_key, eviction_key, life_key, losses_key, over_key, part_key, plan_key, split_number,
-    worker_key,
+    end_key, eviction_key, life_key, losses_key, part_key, plan_key, registrations_end_key,
+    split_number, worker_key,
 };
 use crate::losses::{JobLosses, LifeOver};
+use crate::plan::{JobPlan, TaskPlan};
 use crate::registrations::RegistrationNumber;
 
 /// Topic of everything that must last.
@@ -42,7 +42,7 @@
 impl EndReason {
     /// Returns its name in logs and metrics.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn label(self) -> &'static str {
         match self {
             Self::Done => "done",
             Self::Failed => "failed",
@@ -168,14 +168,14 @@
 impl Member {
     /// Returns whether its machine has room to lead, and to pass records on to many others.
     #[must_use]
-    pub const fn is_ample(&self) -> bool {
+    pub const fn is_well_provisioned(&self) -> bool {
         self.link_mbps >= AMPLE_LINK_MBPS && self.cpu_milli >= AMPLE_CPU_MILLI
     }
 
     /// Returns whether it passes records on, and has room to pass them on to many.
     #[must_use]
-    pub const fn passes_on_amply(&self) -> bool {
-        self.passes_on && self.is_ample()
+    pub const fn is_well_provisioned_relay(&self) -> bool {
+        self.passes_on && self.is_well_provisioned()
     }
 }
 
@@ -255,7 +255,7 @@
             Self::Leader(_) => "leader".to_owned(),
             Self::Member(member) => format!("member/{}", member.node),
             Self::Drained(_) => "drained".to_owned(),
-            Self::Over(instance, _) => over_key(instance),
+            Self::Over(instance, _) => registrations_end_key(instance),
             Self::LifeOver(instance, _) => life_key(instance),
             Self::Losses(job, _) => losses_key(job),
             Self::Part(first, _) => part_key(first),
--- a/crates/rampbay-jobs/src/registrations.rs
+++ b/crates/rampbay-jobs/src/registrations.rs
@@ -34,7 +34,7 @@
 /// Returns the number of the same process that follows. A decision to give the worker up that was made before it
 /// came back, and lands after, ends the number before only.
 #[must_use]
-pub const fn number_after(number: RegistrationNumber) -> RegistrationNumber {
+pub const fn next_number(number: RegistrationNumber) -> RegistrationNumber {
     number + 1
 }
 
@@ -97,7 +97,7 @@
     }
 
     /// Iterates over the workers some of whose registrations are over.
-    pub fn ended(&self) -> impl Iterator<Item = &InstanceId> {
+    pub fn workers_with_ended(&self) -> impl Iterator<Item = &InstanceId> {
         self.over.keys()
     }
 
--- a/crates/rampbay-jobs/src/settings.rs
+++ b/crates/rampbay-jobs/src/settings.rs
@@ -7,7 +7,7 @@
 
 use crate::agent::AgentSettings;
 use crate::job::NodeName;
-use crate::parts::AccountForm;
+use crate::parts::PlanLayout;
 use crate::planner::PlannerSettings;
 use crate::record::Member;
 
@@ -75,7 +75,7 @@
     /// How a leader writes the accounts of wide jobs: `in_parts`, or `whole` while processes of a release are left that
     /// knows no parts. All processes read both.
     #[serde(default)]
-    pub wide_accounts: AccountForm,
+    pub wide_accounts: PlanLayout,
     /// Bandwidth of the machine's link, in megabits a second; 0 if it isn't known.
     #[serde(default)]
     pub link_mbps: f64,
@@ -156,7 +156,7 @@
 
     /// Returns the time after the last renewal was sent from which no lease is left.
     #[must_use]
-    pub fn lapse(&self) -> Duration {
+    pub fn lease_expiry(&self) -> Duration {
         Duration::from_millis(self.lease_ms * CLOCK_DRIFT_PERMILLE / 1000) + LAPSE_SLACK
     }
 
@@ -190,15 +190,15 @@
     pub fn agent(&self) -> AgentSettings {
         AgentSettings {
             lease: Duration::from_millis(self.lease_ms),
-            lapse: self.lapse(),
-            guard: GUARD,
-            start_age: Duration::from_millis(2000),
-            room_age: self.room_age(),
-            silence: Duration::from_millis(2500),
+            lease_expiry: self.lease_expiry(),
+            max_renewal_table_age: GUARD,
+            max_start_table_age: Duration::from_millis(2000),
+            max_heartbeat_age: self.room_age(),
+            silence_timeout: Duration::from_millis(2500),
             renewal_wait: Duration::from_millis(1000),
             report_interval: Duration::from_millis(1000),
             idle_report_interval: Duration::from_millis(2000),
-            unanswered_start: Duration::from_millis(100),
+            unanswered_start_timeout: Duration::from_millis(100),
         }
     }
 
@@ -213,15 +213,17 @@
     #[must_use]
     pub fn planner(&self) -> PlannerSettings {
         PlannerSettings {
-            doubt_after: Duration::from_millis(3500),
+            suspect_after: Duration::from_millis(3500),
             evict_after: Duration::from_millis(7000),
-            gone_after: GUARD + self.lapse() + LAPSE_SLACK,
-            departed_after: self.lapse() + LAPSE_SLACK,
+            remove_evicted_after: GUARD + self.lease_expiry() + LAPSE_SLACK,
+            remove_departed_after: self.lease_expiry() + LAPSE_SLACK,
             stall_after: Duration::from_millis(3500),
-            keep_ended: Duration::from_secs(self.status_s * KEEP_FACTOR),
-            operators_age: Duration::from_millis(self.drain_ms * DRAIN_MARGIN_PERMILLE / 1000),
+            ended_job_retention: Duration::from_secs(self.status_s * KEEP_FACTOR),
+            max_drain_orders_age: Duration::from_millis(
+                self.drain_ms * DRAIN_MARGIN_PERMILLE / 1000,
+            ),
             remote_penalty: self.remote_penalty.max(1),
-            account_form: self.wide_accounts,
+            plan_layout: self.wide_accounts,
         }
     }
 }
--- a/crates/rampbay-jobs/src/store.rs
+++ b/crates/rampbay-jobs/src/store.rs
@@ -21,7 +21,7 @@
 /// Divides records into appends, each of [`BYTES_PER_APPEND`] at most, of a single record, or of the last records about one
 /// job or worker: whoever leads next must not find half of a gang started, nor a job that begins anew since its account alone
 /// was removed. The account of 20,000 tasks takes 0.8 MB, and the store two megabytes a call.
-pub fn appends(records: &[KeyedRecord]) -> impl Iterator<Item = &[KeyedRecord]> {
+pub fn split_into_appends(records: &[KeyedRecord]) -> impl Iterator<Item = &[KeyedRecord]> {
     let mut bytes = 0;
     records.chunk_by(move |before, next| {
         bytes = if bytes == 0 { before.size() } else { bytes };
@@ -108,7 +108,7 @@
     /// Returns the time for which the answer speaks, to a reader whose call began at `started`: all that
     /// the store had acknowledged by then lies before `end`. `None` if that is too long ago to be told.
     #[must_use]
-    pub fn speaks_for(&self, started: Moment) -> Option<Moment> {
+    pub fn current_as_of(&self, started: Moment) -> Option<Moment> {
         (started + self.waited).checked_sub(self.age)
     }
 
@@ -203,7 +203,11 @@
     /// # Errors
     ///
     /// Returns an error if the store can't be reached.
-    async fn stand(&self, member: &str, generation: u64) -> Result<Candidacy, ReadError>;
+    async fn stand_for_election(
+        &self,
+        member: &str,
+        generation: u64,
+    ) -> Result<Candidacy, ReadError>;
 
     /// Gives leadership up.
     async fn resign(&self, member: &str);
@@ -217,7 +221,7 @@
     async fn holder(&self) -> Result<Option<NodeName>, ReadError>;
 
     /// Waits until the store answers again after it didn't; for ever where that isn't observed.
-    async fn regained(&self) {
+    async fn recovered(&self) {
         std::future::pending::<()>().await;
     }
 }
--- a/crates/rampbay-jobs/src/table.rs
+++ b/crates/rampbay-jobs/src/table.rs
@@ -4,12 +4,12 @@
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use crate::account::{JobPlan, JobStatus, TaskPlan, TaskStatus};
 use crate::drained::DrainedDomains;
 use crate::job::{InstanceId, JobId, NodeName, Submission, TaskId};
 use crate::keys::{eviction_key, split_refusal_key, split_worker_key};
 use crate::losses::{JobLosses, LifeOver};
-use crate::parts::{AccountForm, take_in_head, take_in_part};
+use crate::parts::{PlanLayout, take_in_head, take_in_part};
+use crate::plan::{JobPlan, JobStatus, TaskPlan, TaskStatus};
 use crate::record::{EndReason, KeyedRecord, Leader, Member, Record, RunEnd, WorkerRecord};
 use crate::registrations::{RegistrationNumber, Registrations};
 
@@ -21,7 +21,7 @@
     /// The planner's account, once there is one.
     pub plan: Option<Rc<JobPlan>>,
     /// How the store holds that account.
-    pub account_form: AccountForm,
+    pub plan_layout: PlanLayout,
     /// Whether its caller has cancelled it.
     pub cancelled: bool,
 }
@@ -41,7 +41,7 @@
     #[must_use]
     pub fn is_active(&self) -> bool {
         let Some(plan) = &self.plan else { return true };
-        !plan.status.is_final() || plan.occupies()
+        !plan.status.is_final() || plan.may_be_running()
     }
 }
 
@@ -76,7 +76,7 @@
     /// The processes, by their names.
     pub members: BTreeMap<NodeName, Member>,
     /// How workers' lives ended, for a while after.
-    pub lives_over: BTreeMap<InstanceId, Rc<LifeOver>>,
+    pub ended_incarnations: BTreeMap<InstanceId, Rc<LifeOver>>,
     /// The runs that went with their workers, of the jobs that have any.
     pub losses: BTreeMap<JobId, Rc<JobLosses>>,
     /// All registrations, those that a newer one has followed among them.
@@ -90,7 +90,7 @@
     /// Workers with runs by accounts that were passed over, since their jobs aren't known.
     lacking_jobs: BTreeSet<InstanceId>,
     /// Number of the present state of the processes.
-    process_state: u64,
+    membership_version: u64,
 }
 
 impl JobTable {
@@ -139,7 +139,7 @@
                 self.show_newest(&instance);
             }
             Record::LifeOver(instance, over) => {
-                self.lives_over.insert(instance, Rc::new(*over));
+                self.ended_incarnations.insert(instance, Rc::new(*over));
             }
             Record::Losses(job, losses) => {
                 self.losses.insert(job, Rc::new(*losses));
@@ -171,14 +171,14 @@
     }
 
     fn note_process_change(&mut self) {
-        self.process_state = PROCESS_STATES.fetch_add(1, Ordering::Relaxed) + 1;
+        self.membership_version = PROCESS_STATES.fetch_add(1, Ordering::Relaxed) + 1;
     }
 
     /// Returns a number that stands for the processes that are known and who leads: another one after each change.
     /// What is worked out from them needs to be worked out again only then.
     #[must_use]
-    pub const fn process_state(&self) -> u64 {
-        self.process_state
+    pub const fn membership_version(&self) -> u64 {
+        self.membership_version
     }
 
     fn insert_worker(&mut self, instance: &str, number: RegistrationNumber, worker: WorkerRecord) {
@@ -244,7 +244,7 @@
     /// Lists the runs that may exist at a worker, by the accounts.
     #[must_use]
     pub fn runs_assigned_to(&self, instance: &str) -> BTreeSet<(TaskId, u32)> {
-        let is_there = |task: &TaskPlan| task.occupies() && task.instance == instance;
+        let is_there = |task: &TaskPlan| task.may_be_running() && task.instance == instance;
         let mut runs = BTreeSet::new();
         for id in &self.active {
             let Some(plan) = self.jobs.get(id).and_then(|job| job.plan.as_ref()) else { continue };
@@ -258,7 +258,7 @@
 
     /// Returns whether an account says that a run may exist at a worker.
     #[must_use]
-    pub fn names_worker(&self, instance: &str) -> bool {
+    pub fn has_runs_assigned_to(&self, instance: &str) -> bool {
         self.active_plans().flat_map(JobPlan::workers).any(|named| named == instance)
     }
 
@@ -291,7 +291,7 @@
         let job = Job {
             submission: Rc::new(submission),
             plan: None,
-            account_form: AccountForm::default(),
+            plan_layout: PlanLayout::default(),
             cancelled,
         };
         self.jobs.insert(id.clone(), job);
@@ -315,7 +315,7 @@
         let known = job.plan.take().map(Rc::unwrap_or_clone);
         let (plan, form) = take_in_head(&job.submission, known, plan);
         job.plan = Some(Rc::new(plan));
-        job.account_form = form;
+        job.plan_layout = form;
         self.note_account_change(id);
     }
 
@@ -330,7 +330,7 @@
 
     /// Passes over an account whose job isn't known, and takes note of the workers that have runs by it.
     fn pass_over<'a>(&mut self, job: &JobId, tasks: impl Iterator<Item = &'a TaskPlan>) {
-        let named = tasks.filter(|task| task.occupies()).map(|task| &task.instance);
+        let named = tasks.filter(|task| task.may_be_running()).map(|task| &task.instance);
         let there = named.filter(|instance| self.workers.contains_key(*instance));
         let there: BTreeSet<InstanceId> = there.cloned().collect();
         if !there.is_empty() {
@@ -374,7 +374,7 @@
             "worker" => self.remove_worker(key),
             "over" => self.registrations.forget_end(name),
             "life" => {
-                self.lives_over.remove(name);
+                self.ended_incarnations.remove(name);
             }
             "losses" => {
                 self.losses.remove(name);
@@ -442,7 +442,7 @@
 
     fn has_ended_well(&self, id: &TaskId, task: &TaskPlan) -> bool {
         let end = self.ends.get(&format!("end/{id}/{}", task.attempt));
-        task.occupies() && end.is_some_and(|end| end.reason == EndReason::Done)
+        task.may_be_running() && end.is_some_and(|end| end.reason == EndReason::Done)
     }
 
     /// Counts the accepted jobs of a queue that aren't timed and none of whose tasks has begun.
@@ -463,7 +463,7 @@
     /// Returns whether a run is to go on: assigned to this worker, which is registered, and not cancelled. What
     /// runs at a worker whose registration is gone will be started elsewhere.
     #[must_use]
-    pub fn wants_run(&self, instance: &str, task: &TaskId, attempt: u32) -> bool {
+    pub fn should_run(&self, instance: &str, task: &TaskId, attempt: u32) -> bool {
         if !self.workers.contains_key(instance) {
             return false;
         }
--- a/crates/rampbay-jobs/src/worker.rs
+++ b/crates/rampbay-jobs/src/worker.rs
@@ -133,7 +133,7 @@
     /// # Errors
     ///
     /// Returns an error if no answer came.
-    async fn clear(&self, _order: &StopOrder) -> Result<bool, WorkerError> {
+    async fn stop_in_any_incarnation(&self, _order: &StopOrder) -> Result<bool, WorkerError> {
         Ok(true)
     }
 
--- a/crates/rampbay-jobs/tests/agent.rs
+++ b/crates/rampbay-jobs/tests/agent.rs
@@ -4,11 +4,11 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::{EndReason, Record};
 use rstest::rstest;
-use support::store::{MemoryStore, Trouble};
-use support::worker::{FakeWorker, StartTrouble};
+use support::store::{MemoryStore, StoreFault};
+use support::worker::{FakeWorker, StartFault};
 use support::{
     AgentRig, job, on_virtual_time, running_plan, seed_running_job, step, table_of, task,
 };
@@ -56,7 +56,7 @@
     const OTHER: &str = "00000000000000bb";
     on_virtual_time(async move {
         let rig = running_rig(held).await;
-        rig.worker.stops_hang.set(true);
+        rig.worker.ignores_stops.set(true);
         let mut plan = running_plan(held, "i-1", 1);
         plan.open[0].steps[0].iter_mut().for_each(|task| task.status = status);
         rig.store.put(&Record::Plan(JOB.to_owned(), Box::new(plan)));
@@ -74,11 +74,11 @@
 fn end_kept_before_noted() {
     on_virtual_time(async {
         let rig = running_rig(1).await;
-        rig.store.trouble.set(Trouble::Refuses);
+        rig.store.fault.set(StoreFault::Refuses);
         rig.worker.end(&task(JOB, 0), 1, EndReason::Done);
         sleep(Duration::from_secs(3)).await;
-        assert_eq!(rig.worker.seen(), 0, "the store hasn't kept the end");
-        rig.store.trouble.set(Trouble::None);
+        assert_eq!(rig.worker.last_acknowledged(), 0, "the store hasn't kept the end");
+        rig.store.fault.set(StoreFault::None);
         sleep(Duration::from_secs(2)).await;
         assert_eq!(reasons(&rig.store), vec![EndReason::Done]);
     });
@@ -107,18 +107,18 @@
         let rig = running_rig(1).await;
         rig.worker.end(&task(JOB, 0), 1, EndReason::Done);
         sleep(Duration::from_millis(300)).await;
-        assert_eq!(rig.worker.seen(), 1);
+        assert_eq!(rig.worker.last_acknowledged(), 1);
     });
 }
 
 #[rstest]
-#[case::answer_lost(StartTrouble::AnswerLost, true)]
-#[case::order_lost(StartTrouble::OrderLost, false)]
-fn unanswered_start_settled(#[case] trouble: StartTrouble, #[case] runs: bool) {
+#[case::answer_lost(StartFault::AnswerLost, true)]
+#[case::order_lost(StartFault::OrderLost, false)]
+fn unanswered_start_settled(#[case] trouble: StartFault, #[case] runs: bool) {
     on_virtual_time(async move {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
-        worker.start_trouble.set(trouble);
+        worker.start_fault.set(trouble);
         seed_running_job(&store, JOB, 1, "i-1");
         let rig = AgentRig::start(store, worker);
         rig.heartbeat("i-1", 1);
@@ -135,7 +135,7 @@
     on_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
-        worker.start_trouble.set(StartTrouble::FirstRefused);
+        worker.start_fault.set(StartFault::FirstRefused);
         seed_running_job(&store, JOB, 1, "i-1");
         let rig = AgentRig::start(store, worker);
         rig.heartbeat("i-1", 1);
@@ -150,7 +150,7 @@
     on_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
-        worker.start_trouble.set(StartTrouble::Unhealthy);
+        worker.start_fault.set(StartFault::Unhealthy);
         seed_running_job(&store, JOB, 1, "i-1");
         let rig = AgentRig::start(store, worker);
         rig.heartbeat("i-1", 1);
@@ -177,7 +177,7 @@
 fn outage_leases(#[case] outage: Duration, #[case] runs: bool) {
     on_virtual_time(async move {
         let rig = running_rig(1).await;
-        rig.store.trouble.set(Trouble::Refuses);
+        rig.store.fault.set(StoreFault::Refuses);
         sleep(outage).await;
         assert_eq!(!rig.worker.running().is_empty(), runs);
     });
@@ -230,7 +230,7 @@
 fn next_attempt_waits_for_end_of_first() {
     on_virtual_time(async {
         let rig = running_rig(1).await;
-        rig.worker.stops_hang.set(true);
+        rig.worker.ignores_stops.set(true);
         rig.store.put(&Record::Plan(JOB.to_owned(), Box::new(running_plan(1, "i-1", 2))));
         sleep(Duration::from_secs(2)).await;
         assert_eq!(rig.worker.running(), vec![(task(JOB, 0), 1)]);
@@ -256,15 +256,15 @@
 /// Seen on the bench: a run that was to be stopped before its agent had read of it was never
 /// reported, and its task stood for ever.
 #[rstest]
-#[case::never_started(StartTrouble::None, vec![EndReason::NotStarted])]
-#[case::started_unheard(StartTrouble::AnswerLost, vec![EndReason::Stopped])]
-fn stop_of_unknown_run_reported(#[case] before: StartTrouble, #[case] expected: Vec<EndReason>) {
+#[case::never_started(StartFault::None, vec![EndReason::NotStarted])]
+#[case::started_unheard(StartFault::AnswerLost, vec![EndReason::Stopped])]
+fn stop_of_unknown_run_reported(#[case] before: StartFault, #[case] expected: Vec<EndReason>) {
     on_virtual_time(async move {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
         seed_running_job(&store, JOB, 1, "i-1");
-        if before == StartTrouble::AnswerLost {
-            worker.start_unheard(&task(JOB, 0), 1);
+        if before == StartFault::AnswerLost {
+            worker.start_without_agent(&task(JOB, 0), 1);
         }
         let mut plan = running_plan(1, "i-1", 1);
         plan.open[0].steps[0][0].status = TaskStatus::Stopping;
@@ -298,7 +298,7 @@
     on_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
-        worker.start_trouble.set(StartTrouble::FirstOrderLost);
+        worker.start_fault.set(StartFault::FirstOrderLost);
         seed_running_job(&store, JOB, 1, "i-1");
         let rig = AgentRig::start(store, worker);
         rig.heartbeat("i-1", 1);
@@ -315,7 +315,7 @@
     on_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
-        worker.start_trouble.set(StartTrouble::AnswerLostThenUnhealthy);
+        worker.start_fault.set(StartFault::AnswerLostThenUnhealthy);
         seed_running_job(&store, JOB, 1, "i-1");
         let rig = AgentRig::start(store, worker);
         rig.heartbeat("i-1", 1);
@@ -334,7 +334,7 @@
     on_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
-        worker.start_trouble.set(StartTrouble::AnswerLostThenUnhealthy);
+        worker.start_fault.set(StartFault::AnswerLostThenUnhealthy);
         seed_running_job(&store, JOB, 1, "i-1");
         let rig = AgentRig::start(store, worker);
         rig.heartbeat("i-1", 1);
@@ -350,7 +350,7 @@
     on_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
-        worker.start_trouble.set(StartTrouble::AnswerLost);
+        worker.start_fault.set(StartFault::AnswerLost);
         seed_running_job(&store, JOB, 1, "i-1");
         let rig = AgentRig::start(store, worker);
         rig.heartbeat("i-1", 1);
--- a/crates/rampbay-jobs/tests/ages.rs
+++ b/crates/rampbay-jobs/tests/ages.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use rampbay_jobs::echo::EchoStore;
 use rampbay_jobs::follower::{Pace, Sink, follow};
 use rampbay_jobs::freshness::Freshness;
 use rampbay_jobs::job::NodeName;
 use rampbay_jobs::layer::Layer;
 use rampbay_jobs::process::LiveTable;
+use rampbay_jobs::read_your_writes::ReadYourWritesStore;
 use rampbay_jobs::record::{KeyedRecord, Record, STATE_TOPIC};
 use rampbay_jobs::store::{
     AppendError, Batch, Candidacy, Fence, Offset, ReadError, Snapshot, Store,
@@ -245,7 +245,7 @@
         Ok(Snapshot { records, read_from, end, age: Duration::ZERO })
     }
 
-    async fn stand(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
+    async fn stand_for_election(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
         Err(ReadError::Unavailable)
     }
 
@@ -269,7 +269,7 @@
 
 #[async_trait(?Send)]
 impl Layer for Passing {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         &self.way
     }
 
@@ -362,7 +362,7 @@
         way.log
             .push(Record::Worker("i-1".to_owned(), Box::new(worker_record("a", "r", 8))).encode());
         let live = LiveTable::default();
-        let store: Rc<dyn Store> = Rc::new(EchoStore::new(way.clone(), live.clone()));
+        let store: Rc<dyn Store> = Rc::new(ReadYourWritesStore::new(way.clone(), live.clone()));
         tokio::task::spawn_local(live.clone().follow(Rc::clone(&store), PACE));
         sleep(PACE.wait / 2).await;
         way.page_delay.set(PAGE_DELAY);
@@ -453,7 +453,7 @@
         };
         way.log.push(worker("i-1"));
         let live = LiveTable::default();
-        let store: Rc<dyn Store> = Rc::new(EchoStore::new(way.clone(), live.clone()));
+        let store: Rc<dyn Store> = Rc::new(ReadYourWritesStore::new(way.clone(), live.clone()));
         let follower = tokio::task::spawn_local(live.clone().follow(Rc::clone(&store), PACE));
         sleep(Duration::from_millis(50)).await;
         follower.abort();
--- a/crates/rampbay-jobs/tests/apart.rs
+++ b/crates/rampbay-jobs/tests/apart.rs
@@ -8,8 +8,8 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
 use rampbay_jobs::losses::{JobLosses, LostRun, UnitKey, UnitLosses};
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::Record;
 use support::planner::{PlannerRig, gang};
 use support::{job, on_virtual_time, step, task};
@@ -40,7 +40,7 @@
         let mut rig = PlannerRig::of_workers(2);
         submit_suspect(&mut rig);
         rig.submit(job(OTHER, 0, gang(2, 8)));
-        rig.pass(Duration::from_millis(500)).await;
+        rig.advance(Duration::from_millis(500)).await;
         rig.plan();
         assert_eq!(rig.statuses(OTHER), vec![TaskStatus::Running; 2]);
     });
--- a/crates/rampbay-jobs/tests/cancels.rs
+++ b/crates/rampbay-jobs/tests/cancels.rs
@@ -5,14 +5,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::JobStatus;
 use rampbay_jobs::follower::Pace;
 use rampbay_jobs::intake::{CurrentRouting, Intake, IntakeLimits, Refusal};
 use rampbay_jobs::job::JobId;
+use rampbay_jobs::plan::JobStatus;
 use rampbay_jobs::process::LiveTable;
 use rampbay_jobs::record::Record;
 use rampbay_jobs::store::Store;
-use support::store::{MemoryStore, Trouble};
+use support::store::{MemoryStore, StoreFault};
 use support::{job, on_virtual_time, step, table_of};
 use tokio::time::{Instant, sleep};
 
@@ -33,7 +33,7 @@
         configuration_age: Duration::from_millis(2750),
         usual_wait: Duration::from_millis(1300),
         store_age: Duration::from_millis(2200),
-        most_waiting: 8,
+        max_waiting: 8,
         table_age: Duration::from_millis(1500),
     };
     let routing = Rc::new(CurrentRouting::default());
@@ -41,7 +41,7 @@
 }
 
 async fn cancel(intake: &Intake) -> Result<(), Refusal> {
-    intake.cancel(&JobId::from(JOB), intake.patience(Some(PATIENCE))).await
+    intake.cancel(&JobId::from(JOB), intake.wait_budget(Some(PATIENCE))).await
 }
 
 /// Another entry has accepted the job a moment ago: saying that there is none would acknowledge the
@@ -79,7 +79,7 @@
         let store = MemoryStore::new();
         let intake = intake(&store);
         sleep(Duration::from_millis(100)).await;
-        store.trouble.set(Trouble::Refuses);
+        store.fault.set(StoreFault::Refuses);
         assert_eq!(cancel(&intake).await, Err(Refusal::NotCurrent));
     });
 }
--- a/crates/rampbay-jobs/tests/clock.rs
+++ b/crates/rampbay-jobs/tests/clock.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use nix::time::{ClockId, clock_gettime};
-use rampbay_jobs::clock::{Moment, use_source};
+use rampbay_jobs::clock::{Moment, set_clock_source};
 
 #[test]
 fn moments_follow_the_time_since_boot() {
@@ -17,9 +17,9 @@
 
 #[test]
 fn age_counts_what_another_source_counts() {
-    use_source(|| Duration::from_secs(100));
+    set_clock_source(|| Duration::from_secs(100));
     let moment = Moment::now();
-    use_source(|| Duration::from_secs(107));
+    set_clock_source(|| Duration::from_secs(107));
     assert_eq!(moment.elapsed(), Duration::from_secs(7));
     assert_eq!((moment + Duration::from_secs(10)).elapsed(), Duration::ZERO);
 }
--- a/crates/rampbay-jobs/tests/crashes.rs
+++ b/crates/rampbay-jobs/tests/crashes.rs
@@ -12,12 +12,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::JobStatus;
 use rampbay_jobs::job::Step;
+use rampbay_jobs::plan::JobStatus;
 use rstest::rstest;
 use support::planner::gang;
 use support::site::{Site, Work};
-use support::worker::StartTrouble;
+use support::worker::StartFault;
 use support::{on_virtual_time, step, table_of};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -74,7 +74,7 @@
     on_virtual_time(async {
         let site = Site::start(4);
         for machine in &site.machines {
-            machine.worker.start_trouble.set(StartTrouble::AnswerLost);
+            machine.worker.start_fault.set(StartFault::AnswerLost);
         }
         sleep(BEGINS).await;
         site.submit(KILLER, step(1, 1), Work::Crashes(Duration::from_millis(10)));
@@ -94,7 +94,7 @@
             while site.crashes_by(KILLER) == known && site.status(KILLER) != JobStatus::Failed {
                 sleep(Duration::from_millis(100)).await;
             }
-            site.lead_anew();
+            site.replace_leader();
             sleep(CRASH_IS_KNOWN).await;
         }
         assert_given_up(&site, KILLER);
@@ -121,7 +121,7 @@
         while site.status(KILLER) != JobStatus::Failed && killed_leaders < MOST_LEADERS {
             if site.starts_of(KILLER).len() > killed_leaders {
                 sleep(Duration::from_millis(after_ms)).await;
-                site.lead_anew();
+                site.replace_leader();
                 killed_leaders += 1;
             }
             sleep(Duration::from_millis(10)).await;
@@ -254,7 +254,7 @@
         site.submit(KILLER, step(1, 1), Work::Crashes(Duration::from_millis(500)));
         sleep(LONG).await;
         let starts = site.starts_of(KILLER);
-        assert!(starts.iter().skip(1).all(|start| start.beside == 0), "{starts:?}");
+        assert!(starts.iter().skip(1).all(|start| start.runs_beside == 0), "{starts:?}");
         assert_eq!(starts.len(), 3, "{starts:?}");
     });
 }
--- a/crates/rampbay-jobs/tests/decisions.rs
+++ b/crates/rampbay-jobs/tests/decisions.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
 use rampbay_jobs::job::{Step, Submission};
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::planner::{Planner, WaitReason};
 use rampbay_jobs::record::{EndReason, ProgressReport};
 use rstest::rstest;
@@ -26,7 +26,7 @@
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 8)));
         rig.plan();
-        rig.pass(ran).await;
+        rig.advance(ran).await;
         rig.submit(Submission { submitted_at: rig.wall, ..job(URGENT, 0, step(1, 8)) });
         rig.plan();
         assert_eq!(rig.status_of(&task(JOB, 0)), expected);
@@ -57,7 +57,7 @@
         let mut rig = PlannerRig::of_workers(6);
         rig.submit(job(JOB, 2, step(6, 8)));
         rig.plan();
-        rig.pass(Duration::from_secs(30)).await;
+        rig.advance(Duration::from_secs(30)).await;
         rig.submit(Submission { submitted_at: rig.wall, ..job(OTHER, 1, gang(2, 8)) });
         rig.submit(Submission { submitted_at: rig.wall, ..job(URGENT, 2, step(2, 8)) });
         rig.end(&task(JOB, 0), EndReason::Done);
@@ -91,10 +91,10 @@
         rig.submit(Submission { submitted_at: rig.wall, ..submission });
         rig.plan();
         assert_eq!(rig.statuses(OTHER), vec![], "no rack has room");
-        rig.pass(Duration::from_secs(3)).await;
+        rig.advance(Duration::from_secs(3)).await;
         rig.plan();
         assert_eq!(rig.statuses(OTHER).len(), running_soon);
-        rig.pass(Duration::from_secs(10)).await;
+        rig.advance(Duration::from_secs(10)).await;
         rig.plan();
         assert_eq!(rig.statuses(OTHER).len(), members as usize, "it doesn't wait for ever");
     });
--- a/crates/rampbay-jobs/tests/departures.rs
+++ b/crates/rampbay-jobs/tests/departures.rs
@@ -6,7 +6,7 @@
 
 use rstest::rstest;
 use support::site::{Site, Work};
-use support::store::{MemoryStore, Trouble};
+use support::store::{MemoryStore, StoreFault};
 use support::worker::FakeWorker;
 use support::{AgentRig, on_virtual_time, seed_running_job, step, table_of, task};
 use tokio::time::sleep;
@@ -79,11 +79,11 @@
 fn agent_unsettled_until_departure_kept() {
     on_virtual_time(async {
         let rig = departing_rig().await;
-        rig.store.trouble.set(Trouble::Refuses);
+        rig.store.fault.set(StoreFault::Refuses);
         rig.worker.gone.set(true);
         sleep(Duration::from_secs(2)).await;
         assert!(!rig.host.is_settled(), "the store hasn't kept the departure");
-        rig.store.trouble.set(Trouble::None);
+        rig.store.fault.set(StoreFault::None);
         sleep(Duration::from_secs(2)).await;
         assert!(rig.host.is_settled());
         assert!(!table_of(&rig.store).workers.contains_key(WORKER));
@@ -100,7 +100,7 @@
         rig.heartbeat(WORKER, 1);
         sleep(Duration::from_millis(300)).await;
         assert!(rig.host.is_settled(), "a run goes on without its agent");
-        rig.store.trouble.set(Trouble::Refuses);
+        rig.store.fault.set(StoreFault::Refuses);
         rig.worker.end(&task(JOB, 0), 1, rampbay_jobs::record::EndReason::Done);
         sleep(Duration::from_millis(500)).await;
         assert!(!rig.host.is_settled());
@@ -119,12 +119,12 @@
         sleep(Duration::from_millis(500)).await;
         let machine = &site.machines[site.starts_of(JOB)[0].machine];
         // It is stopped, to go elsewhere, and hasn't ended when the worker goes.
-        machine.worker.stops_hang.set(true);
+        machine.worker.ignores_stops.set(true);
         site.give_notice(machine, Duration::from_secs(2));
         sleep(Duration::from_secs(2)).await;
-        site.take_worker(machine);
+        site.remove_worker(machine);
         sleep(Duration::from_millis(1500)).await;
-        site.take_agent(machine);
+        site.remove_agent(machine);
         sleep(Duration::from_secs(8)).await;
         assert_eq!(site.starts_of(JOB).len(), 2, "it goes on elsewhere within a lease");
     });
--- a/crates/rampbay-jobs/tests/drains.rs
+++ b/crates/rampbay-jobs/tests/drains.rs
@@ -4,15 +4,15 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
 use rampbay_jobs::drained::DrainedDomains;
 use rampbay_jobs::job::Step;
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::{EndReason, Record, STATE_TOPIC, WorkerRecord};
 use rstest::rstest;
 use support::leader::{OPERATOR_TOPIC, start_leader};
 use support::planner::{PlannerRig, gang};
-use support::store::{MemoryStore, Trouble};
-use support::worker::{FakeWorker, StartTrouble};
+use support::store::{MemoryStore, StoreFault};
+use support::worker::{FakeWorker, StartFault};
 use support::{
     AgentRig, job, on_virtual_time, running_plan, seed_running_job, step, table_of, worker_record,
 };
@@ -120,7 +120,7 @@
 fn plan_assigns_only_with_known_orders(#[case] age: Option<Duration>, #[case] running: usize) {
     on_virtual_time(async move {
         let mut rig = rig();
-        rig.operators_age = age;
+        rig.drain_orders_age = age;
         rig.submit(job(JOB, 2, step(1, 8)));
         rig.plan();
         assert_eq!(running_at(&rig, "east") + running_at(&rig, "west"), running);
@@ -158,11 +158,11 @@
         start_leader(&store, "entry-1", 1, None);
         sleep(Duration::from_millis(500)).await;
         assert!(table_of(&store).drained.contains("east"));
-        store.trouble.set(Trouble::Refuses);
+        store.fault.set(StoreFault::Refuses);
         sleep(Duration::from_millis(1500)).await;
         store.put_into(OPERATOR_TOPIC, "west", b"{}");
         store.forget_history(OPERATOR_TOPIC);
-        store.trouble.set(Trouble::None);
+        store.fault.set(StoreFault::None);
         sleep(Duration::from_secs(2)).await;
         let drained = table_of(&store).drained;
         assert!(drained.contains("east") && drained.contains("west"), "{drained:?}");
@@ -211,7 +211,7 @@
     on_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
-        worker.start_trouble.set(StartTrouble::FirstOrderLost);
+        worker.start_fault.set(StartFault::FirstOrderLost);
         seed_running_job(&store, JOB, 1, "i-1");
         let rig = AgentRig::start(store, worker);
         rig.heartbeat("i-1", 1);
--- a/crates/rampbay-jobs/tests/gaps.rs
+++ b/crates/rampbay-jobs/tests/gaps.rs
@@ -14,7 +14,7 @@
 use rampbay_jobs::record::{KeyedRecord, Record, STATE_TOPIC};
 use rampbay_jobs::store::{Batch, Offset, ReadError, Snapshot, Store};
 use rstest::rstest;
-use support::entry::ThroughEntry;
+use support::entry::EntryRelayedStore;
 use support::store::MemoryStore;
 use support::worker::FakeWorker;
 use support::{AgentRig, job, on_virtual_time, running_plan, seed_running_job, step, task};
@@ -30,13 +30,13 @@
 
 /// An entry that passes accounts on without their jobs, and from some time on can't prove the state as a whole.
 struct WithoutJobs {
-    entry: Rc<ThroughEntry>,
+    entry: Rc<EntryRelayedStore>,
     has_snapshots: Cell<bool>,
 }
 
 #[async_trait(?Send)]
 impl Layer for WithoutJobs {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         self.entry.as_ref()
     }
 
@@ -51,7 +51,7 @@
         if topic == STATE_TOPIC && !self.has_snapshots.get() {
             return Err(ReadError::Unavailable);
         }
-        self.below().newest(topic).await
+        self.inner().newest(topic).await
     }
 }
 
@@ -63,10 +63,10 @@
     on_virtual_time(async {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
-        let entry = ThroughEntry::start(&store);
+        let entry = EntryRelayedStore::start(&store);
         let ways = Rc::new(WithoutJobs { entry, has_snapshots: Cell::new(true) });
         sleep(ACTS).await;
-        let rig = AgentRig::start_over(store, ways.clone(), FakeWorker::new(WORKER));
+        let rig = AgentRig::start_with_store(store, ways.clone(), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
         sleep(ACTS).await;
         assert_eq!(rig.worker.running(), vec![(task(JOB, 0), 1)]);
--- a/crates/rampbay-jobs/tests/intake.rs
+++ b/crates/rampbay-jobs/tests/intake.rs
@@ -5,14 +5,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::JobStatus;
 use rampbay_jobs::intake::{CallTarget, Refusal};
+use rampbay_jobs::plan::JobStatus;
 use rampbay_jobs::record::{Record, STATE_TOPIC};
 use rampbay_jobs::routing::Routing;
 use rstest::rstest;
-use support::intake::Rig;
+use support::intake::IntakeRig;
 use support::leader::start_leader;
-use support::store::{MemoryStore, Trouble};
+use support::store::{MemoryStore, StoreFault};
 use support::{job, on_virtual_time, step, table_of, worker_record};
 use tokio::time::{Instant, sleep};
 
@@ -36,9 +36,9 @@
     #[case] expected: Result<&'static str, Refusal>,
 ) {
     on_virtual_time(async move {
-        let rig = Rig::start();
+        let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
-        let patience = rig.intake.patience(None);
+        let patience = rig.intake.wait_budget(None);
         let admitted = rig.intake.admit(CallTarget { host, path, key }, patience).await;
         assert_eq!(admitted.map(|admission| admission.queue.name), expected.map(str::to_owned));
     });
@@ -48,12 +48,12 @@
 #[test]
 fn old_configuration_nobody_admitted() {
     on_virtual_time(async {
-        let rig = Rig::start();
+        let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
-        rig.store.trouble.set(Trouble::Refuses);
+        rig.store.fault.set(StoreFault::Refuses);
         sleep(Duration::from_millis(4000)).await;
         assert_eq!(rig.admit(PATIENCE).await.err(), Some(Refusal::NotCurrent));
-        rig.store.trouble.set(Trouble::None);
+        rig.store.fault.set(StoreFault::None);
         sleep(Duration::from_millis(1000)).await;
         assert!(rig.admit(PATIENCE).await.is_ok());
     });
@@ -62,24 +62,24 @@
 #[test]
 fn older_configuration_ignored() {
     on_virtual_time(async {
-        let rig = Rig::start();
+        let rig = IntakeRig::start();
         rig.routing.set(Routing { version: 0, ..Routing::default() });
         assert_eq!(rig.routing.get().map(|routing| routing.version), Some(1));
     });
 }
 
 #[rstest]
-#[case::sound(Trouble::None, Ok(()))]
-#[case::turned_away(Trouble::Refuses, Err(Refusal::Unavailable))]
-#[case::answer_lost(Trouble::LosesAnswers, Err(Refusal::Unknown))]
-fn submission(#[case] trouble: Trouble, #[case] expected: Result<(), Refusal>) {
+#[case::sound(StoreFault::None, Ok(()))]
+#[case::turned_away(StoreFault::Refuses, Err(Refusal::Unavailable))]
+#[case::answer_lost(StoreFault::LosesAnswers, Err(Refusal::Unknown))]
+fn submission(#[case] trouble: StoreFault, #[case] expected: Result<(), Refusal>) {
     on_virtual_time(async move {
-        let rig = Rig::start();
+        let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
-        rig.store.trouble.set(trouble);
+        rig.store.fault.set(trouble);
         assert_eq!(rig.submit(job(JOB, 1, step(1, 1)), PATIENCE).await, expected);
         let kept = table_of(&rig.store).jobs.contains_key(JOB);
-        assert_eq!(kept, trouble != Trouble::Refuses, "a refusal says that nothing was kept");
+        assert_eq!(kept, trouble != StoreFault::Refuses, "a refusal says that nothing was kept");
     });
 }
 
@@ -87,7 +87,7 @@
 #[test]
 fn silent_store_answered_in_time() {
     on_virtual_time(async {
-        let rig = Rig::start();
+        let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         rig.store.append_delay.set(Duration::from_secs(60));
         let started = Instant::now();
@@ -98,7 +98,7 @@
 }
 
 /// Submits a job as a caller does who waits three seconds in all, and comes back when told to.
-async fn submit_and_come_back(rig: &Rig) -> Result<(), Refusal> {
+async fn submit_and_come_back(rig: &IntakeRig) -> Result<(), Refusal> {
     let end = Instant::now() + Duration::from_millis(3000);
     loop {
         let outcome = rig.submit(job(JOB, 1, step(1, 1)), end - Instant::now()).await;
@@ -113,17 +113,17 @@
 /// Seen on the bench: a store that was silent for four seconds refused callers who had time left
 /// for it to come back.
 #[rstest]
-#[case::refused(Trouble::Refuses)]
-#[case::answers_lost(Trouble::LosesAnswers)]
-fn outage_within_callers_time_kept(#[case] trouble: Trouble) {
+#[case::refused(StoreFault::Refuses)]
+#[case::answers_lost(StoreFault::LosesAnswers)]
+fn outage_within_callers_time_kept(#[case] trouble: StoreFault) {
     on_virtual_time(async move {
-        let rig = Rig::start();
+        let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
-        rig.store.trouble.set(trouble);
+        rig.store.fault.set(trouble);
         let store = Rc::clone(&rig.store);
         tokio::task::spawn_local(async move {
             sleep(Duration::from_millis(2800)).await;
-            store.trouble.set(Trouble::None);
+            store.fault.set(StoreFault::None);
         });
         assert_eq!(submit_and_come_back(&rig).await, Ok(()));
     });
@@ -133,14 +133,14 @@
 #[test]
 fn outage_within_callers_time_admitted() {
     on_virtual_time(async {
-        let rig = Rig::start();
+        let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
-        rig.store.trouble.set(Trouble::Refuses);
+        rig.store.fault.set(StoreFault::Refuses);
         sleep(Duration::from_millis(4000)).await;
         let store = Rc::clone(&rig.store);
         tokio::task::spawn_local(async move {
             sleep(Duration::from_millis(1000)).await;
-            store.trouble.set(Trouble::None);
+            store.fault.set(StoreFault::None);
         });
         let started = Instant::now();
         assert!(rig.admit(Duration::from_millis(1200)).await.is_ok());
@@ -153,15 +153,15 @@
 #[test]
 fn store_away_caller_told_to_come_back() {
     on_virtual_time(async {
-        let rig = Rig::start();
+        let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
-        rig.store.trouble.set(Trouble::Refuses);
+        rig.store.fault.set(StoreFault::Refuses);
         sleep(Duration::from_millis(2500)).await;
         let started = Instant::now();
         let outcome = rig.submit(job(JOB, 1, step(1, 1)), Duration::from_millis(3000)).await;
         assert_eq!(outcome, Err(Refusal::Unavailable));
         assert!(started.elapsed() <= Duration::from_millis(101));
-        rig.store.trouble.set(Trouble::None);
+        rig.store.fault.set(StoreFault::None);
         sleep(Duration::from_secs(1)).await;
         assert!(!table_of(&rig.store).jobs.contains_key(JOB));
     });
@@ -171,9 +171,9 @@
 #[test]
 fn too_many_waiting_refused_at_once() {
     on_virtual_time(async {
-        let rig = Rc::new(Rig::start());
+        let rig = Rc::new(IntakeRig::start());
         sleep(Duration::from_millis(50)).await;
-        rig.store.trouble.set(Trouble::Refuses);
+        rig.store.fault.set(StoreFault::Refuses);
         for _ in 0..2 {
             let rig = Rc::clone(&rig);
             tokio::task::spawn_local(
@@ -193,7 +193,7 @@
 #[test]
 fn submission_again_stays_one_job() {
     on_virtual_time(async {
-        let rig = Rig::start();
+        let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         for count in 1..3 {
             rig.submit(job(JOB, 1, step(count, 1)), PATIENCE).await.expect("accepted");
@@ -208,10 +208,10 @@
 #[test]
 fn status_of_unknown_job() {
     on_virtual_time(async {
-        let rig = Rig::start();
+        let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         assert_eq!(rig.intake.known_status(&JOB.to_owned()), Err(Refusal::NoJob));
-        rig.store.trouble.set(Trouble::Refuses);
+        rig.store.fault.set(StoreFault::Refuses);
         sleep(Duration::from_secs(5)).await;
         assert_eq!(rig.intake.known_status(&JOB.to_owned()), Err(Refusal::NotCurrent));
     });
@@ -220,12 +220,12 @@
 #[test]
 fn cancelled_job_shown_at_once() {
     on_virtual_time(async {
-        let rig = Rig::start();
+        let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         rig.submit(job(JOB, 1, step(1, 1)), PATIENCE).await.expect("accepted");
         sleep(Duration::from_millis(50)).await;
         assert_eq!(rig.intake.pending("queue-1"), Ok(1));
-        rig.intake.cancel(&JOB.to_owned(), rig.intake.patience(None)).await.expect("cancelled");
+        rig.intake.cancel(&JOB.to_owned(), rig.intake.wait_budget(None)).await.expect("cancelled");
         sleep(Duration::from_millis(50)).await;
         assert_eq!(rig.intake.known_status(&JOB.to_owned()), Ok(JobStatus::Cancelled));
         assert_eq!(rig.intake.pending("queue-1"), Ok(0));
@@ -281,10 +281,10 @@
         store.put(&Record::Worker("i-1".to_owned(), Box::new(worker_record("side-1", "r1", 8))));
         start_leader(&store, "entry-1", 1, None);
         sleep(Duration::from_millis(500)).await;
-        store.trouble.set(Trouble::LosesAnswers);
+        store.fault.set(StoreFault::LosesAnswers);
         store.put(&Record::Submitted(Box::new(job(JOB, 1, step(1, 1)))));
         sleep(Duration::from_secs(3)).await;
-        store.trouble.set(Trouble::None);
+        store.fault.set(StoreFault::None);
         sleep(Duration::from_secs(2)).await;
         let plans = store.all(STATE_TOPIC).iter().filter(|r| r.key.starts_with("plan/")).count();
         assert_eq!(plans, 1);
@@ -295,15 +295,15 @@
 #[test]
 fn history_dropped_table_whole() {
     on_virtual_time(async {
-        let rig = Rig::start();
+        let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         rig.store.put(&Record::Submitted(Box::new(job(JOB, 1, step(1, 1)))));
         sleep(Duration::from_millis(50)).await;
-        rig.store.trouble.set(Trouble::Refuses);
+        rig.store.fault.set(StoreFault::Refuses);
         sleep(Duration::from_millis(1500)).await;
         rig.store.put(&Record::Cancelled(JOB.to_owned()));
         rig.store.forget_history(STATE_TOPIC);
-        rig.store.trouble.set(Trouble::None);
+        rig.store.fault.set(StoreFault::None);
         sleep(Duration::from_secs(1)).await;
         assert_eq!(rig.live.table.borrow().jobs[JOB].status(), JobStatus::Cancelled);
     });
--- a/crates/rampbay-jobs/tests/introductions.rs
+++ b/crates/rampbay-jobs/tests/introductions.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use rampbay_jobs::account::{JobPlan, JobStatus, Occurrence, TaskPlan, TaskStatus};
 use rampbay_jobs::follower::Pace;
 use rampbay_jobs::keys::{plan_key, worker_key};
 use rampbay_jobs::layer::Layer;
-use rampbay_jobs::parts::{AccountForm, changes, part_keys};
+use rampbay_jobs::parts::{PlanLayout, changes, part_keys};
+use rampbay_jobs::plan::{JobPlan, JobStatus, Occurrence, TaskPlan, TaskStatus};
 use rampbay_jobs::process::LiveTable;
 use rampbay_jobs::record::{Record, STATE_TOPIC};
 use rampbay_jobs::store::{Batch, Offset, ReadError, Snapshot, Store};
@@ -68,7 +68,7 @@
 
 #[async_trait(?Send)]
 impl Layer for ThroughEntries {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         self.store.as_ref()
     }
 
@@ -106,7 +106,7 @@
         let tasks = vec![TaskPlan::default(); count as usize];
         let open = vec![Occurrence { number: 0, steps: vec![tasks] }];
         let plan = JobPlan { status: JobStatus::Running, open, next_occurrence: 1 };
-        changes(&id, None, AccountForm::InParts, &plan)
+        changes(&id, None, PlanLayout::InParts, &plan)
             .iter()
             .for_each(|record| self.store.put_into(STATE_TOPIC, &record.key, &record.value));
         self.jobs.push((id, plan));
@@ -139,7 +139,7 @@
             };
             *task = next.unwrap_or_else(|| task.clone());
         }
-        changes(&id, Some(&kept), AccountForm::InParts, &plan)
+        changes(&id, Some(&kept), PlanLayout::InParts, &plan)
             .iter()
             .for_each(|record| self.store.put_into(STATE_TOPIC, &record.key, &record.value));
         self.jobs[place].1 = plan;
@@ -162,13 +162,13 @@
             let kept = plan.clone();
             let tasks = plan.open[0].steps[0].iter_mut();
             let lost = |task: &&mut TaskPlan| {
-                task.occupies() && !self.registered.contains(task.instance.as_str())
+                task.may_be_running() && !self.registered.contains(task.instance.as_str())
             };
             tasks.filter(lost).for_each(|task| {
                 *task = TaskPlan { attempt: task.attempt, ..TaskPlan::default() };
             });
             if *plan != kept {
-                changes(id, Some(&kept), AccountForm::InParts, plan).iter().for_each(|record| {
+                changes(id, Some(&kept), PlanLayout::InParts, plan).iter().for_each(|record| {
                     self.store.put_into(STATE_TOPIC, &record.key, &record.value);
                 });
             }
@@ -176,7 +176,9 @@
     }
 
     fn remove_job(&mut self) {
-        let Some(place) = self.jobs.iter().position(|(_, plan)| !plan.occupies()) else { return };
+        let Some(place) = self.jobs.iter().position(|(_, plan)| !plan.may_be_running()) else {
+            return;
+        };
         let (id, plan) = self.jobs.remove(place);
         part_keys(&id, &plan).for_each(|(_, key)| self.store.remove(&key));
         self.store.remove(&plan_key(&id));
@@ -227,8 +229,8 @@
                 for index in 0..plan.open[0].steps[0].len() as u32 {
                     let task = task(id, index);
                     let attempt = plan.task(&task).map_or(0, |task| task.attempt);
-                    let expected = whole.wants_run("i-1", &task, attempt);
-                    let wanted = known.wants_run("i-1", &task, attempt);
+                    let expected = whole.should_run("i-1", &task, attempt);
+                    let wanted = known.should_run("i-1", &task, attempt);
                     assert_eq!(wanted, expected, "step {number}, {task} {attempt}");
                 }
             }
--- a/crates/rampbay-jobs/tests/late_across_lives.rs
+++ b/crates/rampbay-jobs/tests/late_across_lives.rs
@@ -4,11 +4,11 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::JobStatus;
+use rampbay_jobs::plan::JobStatus;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
-use support::noted::{NotedEnds, assert_runs_once};
+use support::acknowledged::{AcknowledgedEnds, assert_runs_once};
 use support::site::{Site, Work};
 use support::worker::LateCalls;
 use support::{on_virtual_time, step, table_of};
@@ -28,7 +28,7 @@
     on_virtual_time(async move {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let site = Site::start(MACHINES);
-        let mut noted = NotedEnds::watch(&site);
+        let mut noted = AcknowledgedEnds::watch(&site);
         sleep(BEGINS).await;
         let until = Instant::now() + TROUBLE;
         let mut jobs = 0;
@@ -48,7 +48,7 @@
                 2..8 => machine.worker.late_calls.set(None),
                 8..12 => {
                     let after = Duration::from_millis(rng.random_range(1000..12_000));
-                    let calls = [LateCalls::Starts(after), LateCalls::Notes(after)];
+                    let calls = [LateCalls::Starts(after), LateCalls::Acknowledgements(after)];
                     machine.worker.late_calls.set(Some(calls[rng.random_range(0..2)]));
                 }
                 12..14 => machine.worker.silent.set(true),
--- a/crates/rampbay-jobs/tests/late_writes.rs
+++ b/crates/rampbay-jobs/tests/late_writes.rs
@@ -15,16 +15,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::JobStatus;
 use rampbay_jobs::keys::{eviction_key, worker_key};
+use rampbay_jobs::plan::JobStatus;
 use rampbay_jobs::record::{EndReason, KeyedRecord, Record, STATE_TOPIC};
 use rampbay_jobs::store::Store;
 use rampbay_jobs::table::JobTable;
 use rstest::rstest;
-use support::entry::ThroughEntry;
+use support::entry::EntryRelayedStore;
 use support::leader::start_leader;
 use support::store::MemoryStore;
-use support::worker::{FakeWorker, StartTrouble};
+use support::worker::{FakeWorker, StartFault};
 use support::{
     AgentRig, job, on_virtual_time, plan_of, running_plan, seed_running_job, step, table_of, task,
     worker_record,
@@ -45,7 +45,7 @@
 fn assert_runs_once(rig: &AgentRig) {
     let plan = plan_of(&rig.store, JOB);
     assert_eq!(rig.worker.running(), vec![(task(JOB, 0), plan.attempt)], "{plan:?}");
-    assert_eq!((plan.instance.as_str(), plan.occupies()), (WORKER, true), "{plan:?}");
+    assert_eq!((plan.instance.as_str(), plan.may_be_running()), (WORKER, true), "{plan:?}");
 }
 
 fn submit(store: &MemoryStore) {
@@ -70,7 +70,7 @@
     let store = MemoryStore::new();
     let shared = way(&store);
     sleep(Duration::from_millis(100)).await;
-    let rig = AgentRig::start_over(store, shared, FakeWorker::new(WORKER));
+    let rig = AgentRig::start_with_store(store, shared, FakeWorker::new(WORKER));
     rig.heartbeat(WORKER, 1);
     sleep(STARTS).await;
     let from = rig.store.all(STATE_TOPIC).len();
@@ -93,7 +93,7 @@
     on_virtual_time(async {
         let (rig, from, to) = returned_worker().await;
         add_other_worker(&rig.store);
-        rig.store.land_again(from, to);
+        rig.store.apply_again(from, to);
         sleep(SETTLES).await;
         assert_runs_once(&rig);
     });
@@ -114,11 +114,11 @@
             rig.worker.silent.set(true);
             sleep(LAPSES).await;
         } else {
-            rig.worker.start_trouble.set(StartTrouble::Unhealthy);
+            rig.worker.start_fault.set(StartFault::Unhealthy);
             start_leader(&store, "entry-1", 1, None);
             submit(&store);
             sleep(STARTS).await;
-            rig.worker.start_trouble.set(StartTrouble::None);
+            rig.worker.start_fault.set(StartFault::None);
         }
         let worker = Rc::clone(&rig.worker);
         worker.silent.set(false);
@@ -134,7 +134,7 @@
         }
         assert_runs_once(&rig);
         add_other_worker(&store);
-        store.land_held();
+        store.apply_held();
         sleep(SETTLES).await;
         assert_runs_once(&rig);
     });
@@ -166,11 +166,11 @@
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         let worker = FakeWorker::new(WORKER);
-        worker.start_trouble.set(StartTrouble::Unhealthy);
+        worker.start_fault.set(StartFault::Unhealthy);
         let rig = AgentRig::start(Rc::clone(&store), worker);
         rig.heartbeat(WORKER, 1);
         sleep(STARTS).await;
-        rig.worker.start_unheard(&task(JOB, 0), 1);
+        rig.worker.start_without_agent(&task(JOB, 0), 1);
         assert_eq!(rig.worker.running().len(), 1);
         sleep(Duration::from_secs(4)).await;
         assert_eq!(rig.worker.running(), vec![]);
@@ -207,14 +207,14 @@
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         let worker = FakeWorker::new(WORKER);
-        worker.start_trouble.set(StartTrouble::Unhealthy);
+        worker.start_fault.set(StartFault::Unhealthy);
         let rig = AgentRig::start(Rc::clone(&store), worker);
         rig.heartbeat(WORKER, 1);
         sleep(STARTS).await;
         assert_eq!(rig.worker.starts(), vec![]);
         store.put(&Record::Evicted(WORKER.to_owned()));
         sleep(STARTS).await;
-        rig.worker.start_trouble.set(StartTrouble::None);
+        rig.worker.start_fault.set(StartFault::None);
         assert!(table_of(&store).evicted.is_empty(), "it has returned");
         start_leader(&store, "entry-1", 1, None);
         sleep(Duration::from_secs(10)).await;
@@ -246,7 +246,7 @@
         sleep(STARTS).await;
         assert_runs_once(&rig);
         add_other_worker(&store);
-        store.land_held();
+        store.apply_held();
         sleep(SETTLES).await;
         assert_runs_once(&rig);
     });
@@ -256,14 +256,14 @@
 #[test]
 fn late_removal_behind_entry_starts_nothing_elsewhere() {
     on_virtual_time(async {
-        let (rig, from, to) = returned_worker_of(|store| ThroughEntry::start(store)).await;
+        let (rig, from, to) = returned_worker_of(|store| EntryRelayedStore::start(store)).await;
         add_other_worker(&rig.store);
-        rig.store.land_again(from, to);
+        rig.store.apply_again(from, to);
         sleep(SETTLES).await;
         assert_runs_once(&rig);
         rig.worker.end(&task(JOB, 0), 1, EndReason::Done);
         sleep(SETTLES).await;
-        assert_eq!(rig.worker.seen(), 1);
+        assert_eq!(rig.worker.last_acknowledged(), 1);
         assert_eq!(table_of(&rig.store).status(JOB), Some(JobStatus::Succeeded));
     });
 }
@@ -282,7 +282,7 @@
         rig.worker.gone.set(true);
         sleep(STARTS).await;
         assert!(table_of(&rig.store).workers.is_empty());
-        rig.store.land_again(0, registered);
+        rig.store.apply_again(0, registered);
         sleep(SETTLES).await;
         let table = table_of(&rig.store);
         assert!(table.workers.is_empty());
@@ -304,7 +304,7 @@
         rig.host.deregister(|life| life == WORKER);
         sleep(Duration::from_millis(60)).await;
         rig.kill();
-        store.land_again(0, registered);
+        store.apply_again(0, registered);
         assert!(table_of(&store).workers[WORKER].departed);
         sleep(Duration::from_secs(9)).await;
         assert!(table_of(&store).workers.is_empty(), "given up after its last lease");
@@ -371,7 +371,7 @@
         store.put(&Record::Plan(JOB.to_owned(), Box::new(running_plan(1, WORKER, 1))));
         keys.iter().for_each(|key| store.remove(key));
         store.put(&Record::Over(WORKER.to_owned(), number));
-        store.land_again(0, registered);
+        store.apply_again(0, registered);
         let rig = AgentRig::start(Rc::clone(&store), worker);
         rig.heartbeat(WORKER, 9);
         sleep(Duration::from_millis(60)).await;
--- a/crates/rampbay-jobs/tests/layer.rs
+++ b/crates/rampbay-jobs/tests/layer.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use rampbay_jobs::echo::EchoStore;
 use rampbay_jobs::job::NodeName;
 use rampbay_jobs::layer::Layer;
 use rampbay_jobs::process::LiveTable;
+use rampbay_jobs::read_your_writes::ReadYourWritesStore;
 use rampbay_jobs::record::{KeyedRecord, STATE_TOPIC};
 use rampbay_jobs::store::{
     AppendError, Batch, Candidacy, Fence, Offset, ReadError, Snapshot, Store,
@@ -63,7 +63,7 @@
         Ok(Snapshot::default())
     }
 
-    async fn stand(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
+    async fn stand_for_election(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
         self.note("stand");
         Ok(Candidacy::default())
     }
@@ -77,7 +77,7 @@
         Ok(None)
     }
 
-    async fn regained(&self) {
+    async fn recovered(&self) {
         self.note("regained");
     }
 }
@@ -86,14 +86,14 @@
 struct Plain(Rc<dyn Store>);
 
 impl Layer for Plain {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         self.0.as_ref()
     }
 }
 
 #[rstest]
 #[case::plain(|below: Rc<dyn Store>| -> Rc<dyn Store> { Rc::new(Plain(below)) })]
-#[case::echo(|below| -> Rc<dyn Store> { Rc::new(EchoStore::new(below, LiveTable::default())) })]
+#[case::echo(|below| -> Rc<dyn Store> { Rc::new(ReadYourWritesStore::new(below, LiveTable::default())) })]
 fn every_call_reaches_store_below_as_it_is(#[case] over: fn(Rc<dyn Store>) -> Rc<dyn Store>) {
     on_virtual_time(async {
         let below = Rc::new(Noting::default());
@@ -103,10 +103,10 @@
         let _ = store.read(STATE_TOPIC, 0, Duration::ZERO).await;
         let _ = store.end(STATE_TOPIC, 0).await;
         let _ = store.newest(STATE_TOPIC).await;
-        let _ = store.stand("entry-1", 0).await;
+        let _ = store.stand_for_election("entry-1", 0).await;
         store.resign("entry-1").await;
         let _ = store.holder().await;
-        store.regained().await;
+        store.recovered().await;
         let all =
             ["append", "report", "read", "end", "newest", "stand", "resign", "holder", "regained"];
         assert_eq!(*below.0.borrow(), all);
--- a/crates/rampbay-jobs/tests/leader.rs
+++ b/crates/rampbay-jobs/tests/leader.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use rampbay_jobs::candidacy::Successors;
+use rampbay_jobs::candidacy::PreferredLeaders;
 use rampbay_jobs::record::{Leader, Record, STATE_TOPIC};
 use rstest::rstest;
 use support::leader::start_leader;
-use support::store::{MemoryStore, Trouble};
+use support::store::{MemoryStore, StoreFault};
 use support::{on_virtual_time, table_of};
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
@@ -25,8 +25,8 @@
 }
 
 #[async_trait(?Send)]
-impl Successors for Peer {
-    async fn any_answers(&self) -> bool {
+impl PreferredLeaders for Peer {
+    async fn any_reachable(&self) -> bool {
         self.answers.get()
     }
 }
@@ -34,9 +34,9 @@
 fn start(
     store: &Rc<MemoryStore>,
     node: &str,
-    successors: Option<Rc<dyn Successors>>,
+    preferred_leaders: Option<Rc<dyn PreferredLeaders>>,
 ) -> JoinHandle<()> {
-    start_leader(store, node, node.len() as u64, successors)
+    start_leader(store, node, node.len() as u64, preferred_leaders)
 }
 
 fn holder(store: &MemoryStore) -> Option<String> {
@@ -75,7 +75,7 @@
     on_virtual_time(async {
         let store = MemoryStore::new();
         let peer = Rc::new(Peer { answers: Cell::new(false) });
-        start(&store, SMALL, Some(Rc::clone(&peer) as Rc<dyn Successors>));
+        start(&store, SMALL, Some(Rc::clone(&peer) as Rc<dyn PreferredLeaders>));
         sleep(Duration::from_secs(5)).await;
         assert_eq!(holder(&store).as_deref(), Some(SMALL));
         start(&store, AMPLE, None);
@@ -94,7 +94,7 @@
 fn ample_process_that_starts_leaves_leader_in_place() {
     on_virtual_time(async {
         let store = MemoryStore::new();
-        store.deals_to_newcomers.set(true);
+        store.elects_newcomers.set(true);
         start(&store, AMPLE, None);
         sleep(Duration::from_secs(2)).await;
         let epoch = table_of(&store).leader.epoch;
@@ -128,14 +128,14 @@
 fn join_that_hangs_takes_nothing_back() {
     on_virtual_time(async {
         let store = MemoryStore::new();
-        store.deals_to_newcomers.set(true);
+        store.elects_newcomers.set(true);
         start(&store, AMPLE, None);
         sleep(Duration::from_secs(2)).await;
         start(&store, "entry-second", None);
         sleep(Duration::from_secs(1)).await;
         AMPLE.clone_into(&mut store.hanging_candidate.borrow_mut());
         sleep(Duration::from_millis(500)).await;
-        store.lapse();
+        store.expire_leader();
         sleep(Duration::from_secs(1)).await;
         let epoch = table_of(&store).leader.epoch;
         assert_eq!(holder(&store).as_deref(), Some("entry-second"));
@@ -150,7 +150,7 @@
 fn processes_that_start_together_settle_on_one() {
     on_virtual_time(async {
         let store = MemoryStore::new();
-        store.deals_to_newcomers.set(true);
+        store.elects_newcomers.set(true);
         for index in 0..5 {
             start(&store, &format!("entry-{}", "x".repeat(index + 1)), None);
         }
@@ -171,9 +171,9 @@
         let ample = start(&store, AMPLE, None);
         start(&store, SMALL, Some(peer));
         sleep(Duration::from_secs(2)).await;
-        store.trouble.set(Trouble::Refuses);
+        store.fault.set(StoreFault::Refuses);
         sleep(Duration::from_secs(6)).await;
-        store.trouble.set(Trouble::None);
+        store.fault.set(StoreFault::None);
         sleep(Duration::from_millis(500)).await;
         assert_eq!(holder(&store).as_deref(), Some(AMPLE));
         ample.abort();
--- a/crates/rampbay-jobs/tests/losses.rs
+++ b/crates/rampbay-jobs/tests/losses.rs
@@ -1,6 +1,6 @@
 //! When a task is given up for what it has lost, and how far it is kept apart, case by case.
 
-use rampbay_jobs::losses::{Isolation, JobLosses, LastRun, LostRun, UnitKey, UnitLosses};
+use rampbay_jobs::losses::{InFlightRun, Isolation, JobLosses, LostRun, UnitKey, UnitLosses};
 use rstest::rstest;
 
 /// A loss at a minute of its own.
@@ -88,7 +88,7 @@
 #[case::listed_for_longer(1_000, false)]
 fn worker_went_soon(#[case] listed_ms: u64, #[case] expected: bool) {
     let task = "00000000000000aa.0.0.0".parse().expect("a task");
-    assert_eq!(LastRun { task, attempt: 1, age_ms: 9_000, listed_ms }.went_soon(), expected);
+    assert_eq!(InFlightRun { task, attempt: 1, age_ms: 9_000, listed_ms }.went_soon(), expected);
 }
 
 #[test]
--- a/crates/rampbay-jobs/tests/notices.rs
+++ b/crates/rampbay-jobs/tests/notices.rs
@@ -8,8 +8,8 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
 use rampbay_jobs::job::Step;
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::{ProgressReport, Record, WorkerRecord};
 use rstest::rstest;
 use support::planner::{PlannerRig, gang, progress};
--- a/crates/rampbay-jobs/tests/partial_views.rs
+++ b/crates/rampbay-jobs/tests/partial_views.rs
@@ -13,9 +13,9 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use rampbay_jobs::audience::Audience;
 use rampbay_jobs::keys::worker_key;
 use rampbay_jobs::layer::Layer;
+use rampbay_jobs::recipients::Recipients;
 use rampbay_jobs::record::{KeyedRecord, Member, Record, STATE_TOPIC};
 use rampbay_jobs::store::{Batch, Offset, ReadError, Store};
 use rampbay_jobs::table::JobTable;
@@ -23,7 +23,7 @@
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
-use support::entry::ThroughEntry;
+use support::entry::EntryRelayedStore;
 use support::store::MemoryStore;
 use support::worker::FakeWorker;
 use support::{
@@ -47,9 +47,9 @@
     let store = MemoryStore::new();
     seed_running_job(&store, JOB, 1, WORKER);
     store.put(&Record::Worker(OTHER.to_owned(), Box::new(worker_record("side-9", "r1", 8))));
-    let shared: Rc<dyn Store> = ThroughEntry::start(&store);
+    let shared: Rc<dyn Store> = EntryRelayedStore::start(&store);
     sleep(ACTS).await;
-    let rig = AgentRig::start_over(store, shared, FakeWorker::new(WORKER));
+    let rig = AgentRig::start_with_store(store, shared, FakeWorker::new(WORKER));
     rig.heartbeat(WORKER, 1);
     sleep(ACTS).await;
     assert_eq!(rig.worker.running(), vec![(task(JOB, 0), 1)]);
@@ -95,9 +95,9 @@
 
 /// An entry that has read the state anew doesn't know whose a worker was that is gone: all agents are told.
 #[rstest]
-#[case::known_before(false, Audience::Agents([AGENT.to_owned()].into()))]
-#[case::read_anew(true, Audience::All)]
-fn account_of_gone_worker_passed_on(#[case] reloads: bool, #[case] expected: Audience) {
+#[case::known_before(false, Recipients::Agents([AGENT.to_owned()].into()))]
+#[case::read_anew(true, Recipients::All)]
+fn account_of_gone_worker_passed_on(#[case] reloads: bool, #[case] expected: Recipients) {
     let store = MemoryStore::new();
     seed_running_job(&store, JOB, 1, WORKER);
     let mut table = JobTable::default();
@@ -111,8 +111,8 @@
         store.all(STATE_TOPIC).last().iter().for_each(|record| table.apply(record));
     }
     let waiting = Record::Plan(JOB.to_owned(), Box::default());
-    let passed = table.apply_and_tell(&waiting.encode());
-    assert_eq!(passed.audience, expected);
+    let passed = table.apply_and_address(&waiting.encode());
+    assert_eq!(passed.recipients, expected);
 }
 
 /// A job that moves from a worker that is gone to another: the new agent gets the job before its account.
@@ -125,7 +125,7 @@
         Record::Worker(OTHER.to_owned(), Box::new(worker_record("side-9", "r1", 8))),
     ];
     table.load(&records.each_ref().map(Record::encode));
-    let passed = table.apply_and_tell(&plan(OTHER, 2).encode());
+    let passed = table.apply_and_address(&plan(OTHER, 2).encode());
     let sent: Vec<String> = passed.records_for("side-9").map(|record| record.key).collect();
     assert_eq!(sent, [format!("job/{JOB}"), format!("plan/{JOB}")]);
 }
@@ -136,7 +136,7 @@
     let mut table = JobTable::default();
     table.load(&[Record::Submitted(Box::new(job(JOB, 1, step(1, 1)))).encode()]);
     let account = Record::Plan(JOB.to_owned(), Box::new(running_plan(1, WORKER, 1)));
-    let passed = table.apply_and_tell(&account.encode());
+    let passed = table.apply_and_address(&account.encode());
     let sent: Vec<String> = passed.records_for(AGENT).map(|record| record.key).collect();
     assert_eq!(sent, [format!("job/{JOB}"), format!("plan/{JOB}")]);
 }
@@ -155,11 +155,11 @@
 }
 
 /// An entry that passes accounts on without their jobs.
-struct WithoutJobs(Rc<ThroughEntry>);
+struct WithoutJobs(Rc<EntryRelayedStore>);
 
 #[async_trait(?Send)]
 impl Layer for WithoutJobs {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         self.0.as_ref()
     }
 
@@ -176,9 +176,9 @@
 fn account_without_its_job_makes_agent_read_anew() {
     on_virtual_time(async {
         let store = MemoryStore::new();
-        let shared: Rc<dyn Store> = Rc::new(WithoutJobs(ThroughEntry::start(&store)));
+        let shared: Rc<dyn Store> = Rc::new(WithoutJobs(EntryRelayedStore::start(&store)));
         sleep(ACTS).await;
-        let rig = AgentRig::start_over(store, shared, FakeWorker::new(WORKER));
+        let rig = AgentRig::start_with_store(store, shared, FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
         sleep(ACTS).await;
         seed_running_job(&rig.store, JOB, 1, WORKER);
@@ -214,8 +214,8 @@
     records.shuffle(&mut ChaCha8Rng::seed_from_u64(seed));
     let mut table = JobTable::default();
     table.load(&records);
-    assert!(table.wants_run(WORKER, &task(JOB, 0), 1));
-    assert!(table.wants_run(WORKER, &task(JOB, 1), 1));
+    assert!(table.should_run(WORKER, &task(JOB, 0), 1));
+    assert!(table.should_run(WORKER, &task(JOB, 1), 1));
 }
 
 fn member(node: &str, passes_on: bool) -> Record {
@@ -236,8 +236,8 @@
 ) {
     let mut table = JobTable::default();
     for _ in 0..2 {
-        let passed = table.apply_and_tell(&member(node, passes_on).encode());
-        assert_eq!(passed.audience.includes(agent), expected);
+        let passed = table.apply_and_address(&member(node, passes_on).encode());
+        assert_eq!(passed.recipients.includes(agent), expected);
     }
     assert_eq!(table.concerns(&format!("member/{node}"), agent), expected);
 }
--- a/crates/rampbay-jobs/tests/parts.rs
+++ b/crates/rampbay-jobs/tests/parts.rs
@@ -6,13 +6,13 @@
 mod support;
 
 use proptest::prelude::*;
-use rampbay_jobs::account::{JobPlan, JobStatus, Occurrence, TaskPlan, TaskStatus};
 use rampbay_jobs::job::Submission;
-use rampbay_jobs::parts::{AccountForm, TASKS_PER_PART, changes, changes_to_whole};
+use rampbay_jobs::parts::{PlanLayout, TASKS_PER_PART, changes, changes_to_whole};
+use rampbay_jobs::plan::{JobPlan, JobStatus, Occurrence, TaskPlan, TaskStatus};
 use rampbay_jobs::planner::Planner;
 use rampbay_jobs::record::{KeyedRecord, Record};
 use rampbay_jobs::settings::Settings;
-use rampbay_jobs::store::{BYTES_PER_APPEND, appends};
+use rampbay_jobs::store::{BYTES_PER_APPEND, split_into_appends};
 use rampbay_jobs::table::JobTable;
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
@@ -56,7 +56,7 @@
     /// Writes what turns the account into `plan`. Returns the records.
     fn write(&mut self, plan: &JobPlan) -> Vec<KeyedRecord> {
         let job = &self.table.jobs[JOB];
-        let records = changes(&JOB.to_owned(), job.plan.as_deref(), job.account_form, plan);
+        let records = changes(&JOB.to_owned(), job.plan.as_deref(), job.plan_layout, plan);
         self.append(&records);
         records
     }
@@ -110,7 +110,7 @@
 fn occurrence_none_of_whose_tasks_began_writes_no_parts() {
     let submission = wide_job(40);
     let mut kept = Kept::new(submission.clone());
-    let open = vec![Occurrence::unbegun(&submission, 0)];
+    let open = vec![Occurrence::not_started(&submission, 0)];
     let plan = JobPlan { open, next_occurrence: 1, ..JobPlan::default() };
     let keys: Vec<String> = kept.write(&plan).into_iter().map(|record| record.key).collect();
     assert_eq!(keys, [format!("plan/{JOB}")]);
@@ -135,10 +135,10 @@
     let mut plan = running(40);
     kept.append(&[Record::Plan(JOB.to_owned(), Box::new(plan.clone())).encode()]);
     assert_eq!(kept.plan(), plan);
-    assert_eq!(kept.table.jobs[JOB].account_form, AccountForm::Whole);
+    assert_eq!(kept.table.jobs[JOB].plan_layout, PlanLayout::Whole);
     plan.open[0].steps[0][7].status = TaskStatus::Done;
     kept.write(&plan);
-    assert_eq!(kept.table.jobs[JOB].account_form, AccountForm::InParts);
+    assert_eq!(kept.table.jobs[JOB].plan_layout, PlanLayout::InParts);
     assert_eq!(kept.plan(), plan);
     assert_eq!(kept.plan_read_anew(1), plan);
 }
@@ -151,8 +151,7 @@
     let mut plan = running(40);
     kept.write(&plan);
     plan.open[0].steps[0][7].status = TaskStatus::Done;
-    let records =
-        changes_to_whole(&JOB.to_owned(), Some(&running(40)), AccountForm::InParts, &plan);
+    let records = changes_to_whole(&JOB.to_owned(), Some(&running(40)), PlanLayout::InParts, &plan);
     assert_eq!(records[0], Record::Plan(JOB.to_owned(), Box::new(plan.clone())).encode());
     for record in &records {
         kept.append(std::slice::from_ref(record));
@@ -163,7 +162,7 @@
     assert_eq!(kept.plan_read_anew(1), plan);
     plan.open[0].steps[0][8].status = TaskStatus::Done;
     kept.write(&plan);
-    assert_eq!(kept.table.jobs[JOB].account_form, AccountForm::InParts);
+    assert_eq!(kept.table.jobs[JOB].plan_layout, PlanLayout::InParts);
     assert_eq!(kept.plan(), plan);
     assert_eq!(kept.plan_read_anew(2), plan);
 }
@@ -187,8 +186,8 @@
 
 #[test]
 fn settings_without_form_of_accounts_write_parts() {
-    assert_eq!(settings().wide_accounts, AccountForm::InParts);
-    assert!(serde_json::from_str::<AccountForm>("\"half\"").is_err());
+    assert_eq!(settings().wide_accounts, PlanLayout::InParts);
+    assert!(serde_json::from_str::<PlanLayout>("\"half\"").is_err());
 }
 
 /// A reader that has taken in only some records of a change sees each task as it was before or as it is after it, and no
@@ -201,7 +200,7 @@
     let mut after = before.clone();
     after.open[0].steps[0].iter_mut().for_each(|task| task.attempt = 2);
     after.next_occurrence = 2;
-    let records = changes(&JOB.to_owned(), Some(&before), AccountForm::InParts, &after);
+    let records = changes(&JOB.to_owned(), Some(&before), PlanLayout::InParts, &after);
     for record in &records {
         kept.append(std::slice::from_ref(record));
         let seen = kept.plan();
@@ -210,7 +209,7 @@
         assert!(tasks.all(|((seen, before), after)| seen == before || seen == after));
     }
     let over = JobPlan { status: JobStatus::Succeeded, next_occurrence: 3, open: Vec::new() };
-    let records = changes(&JOB.to_owned(), Some(&after), AccountForm::InParts, &over);
+    let records = changes(&JOB.to_owned(), Some(&after), PlanLayout::InParts, &over);
     for record in &records {
         kept.append(std::slice::from_ref(record));
         assert_eq!(kept.plan(), over);
@@ -230,8 +229,8 @@
         table.apply(&Record::Worker(format!("i-{worker}"), Box::new(record)).encode());
     }
     table.apply(&Record::Submitted(Box::new(wide_job(40))).encode());
-    let records = changes(&JOB.to_owned(), None, AccountForm::InParts, &plan);
-    let passed = records.iter().map(|record| table.apply_and_tell(record));
+    let records = changes(&JOB.to_owned(), None, PlanLayout::InParts, &plan);
+    let passed = records.iter().map(|record| table.apply_and_address(record));
     let sent: Vec<String> = passed
         .flat_map(|passed| passed.records_for("side-2").collect::<Vec<_>>())
         .map(|record| record.key)
@@ -249,18 +248,18 @@
     let worker = Box::new(worker_record("side-1", "r1", 8));
     agent.apply(&Record::Worker("i-1".to_owned(), worker).encode());
     let plan = running(40);
-    let records = changes(&JOB.to_owned(), None, AccountForm::InParts, &plan);
+    let records = changes(&JOB.to_owned(), None, PlanLayout::InParts, &plan);
     let part = format!("part/{}", task(JOB, 16));
     let own = records.iter().find(|record| record.key == part).expect("a part");
     agent.apply(own);
-    assert!(agent.wants_run("i-1", &task(JOB, 17), 1));
-    assert!(!agent.wants_run("i-1", &task(JOB, 3), 1));
+    assert!(agent.should_run("i-1", &task(JOB, 17), 1));
+    assert!(!agent.should_run("i-1", &task(JOB, 3), 1));
     let mut stopping = plan.clone();
     stopping.open[0].steps[0][17].status = TaskStatus::Stopping;
-    let records = changes(&JOB.to_owned(), Some(&plan), AccountForm::InParts, &stopping);
+    let records = changes(&JOB.to_owned(), Some(&plan), PlanLayout::InParts, &stopping);
     records.iter().for_each(|record| agent.apply(record));
-    assert!(!agent.wants_run("i-1", &task(JOB, 17), 1));
-    assert!(agent.wants_run("i-1", &task(JOB, 18), 1));
+    assert!(!agent.should_run("i-1", &task(JOB, 17), 1));
+    assert!(agent.should_run("i-1", &task(JOB, 18), 1));
 }
 
 /// Whoever leads next must not find half of a change: a gang of which some members are started.
@@ -270,13 +269,13 @@
 fn account_appended_at_once(#[case] others: usize) {
     let other = |number: usize| KeyedRecord { key: format!("end/{number}"), value: vec![1; 90] };
     let mut records: Vec<KeyedRecord> = (0..others).map(other).collect();
-    let account = changes(&JOB.to_owned(), None, AccountForm::InParts, &running(4000));
+    let account = changes(&JOB.to_owned(), None, PlanLayout::InParts, &running(4000));
     let first = records.len();
     records.extend(account);
     assert!(records.len() > first + 400);
     records.extend((0..others).map(other));
     let mut at = 0;
-    let groups = appends(&records).map(|group| {
+    let groups = split_into_appends(&records).map(|group| {
         at += group.len();
         at - group.len()..at
     });
@@ -334,7 +333,7 @@
         }),
         Change::AllTasks(to) => all(plan, &mut |_, task| task.status = status(to)),
         Change::Open if plan.open.len() < 3 => {
-            plan.open.push(Occurrence::unbegun(submission, plan.next_occurrence));
+            plan.open.push(Occurrence::not_started(submission, plan.next_occurrence));
             plan.next_occurrence += 1;
         }
         Change::Open => {}
--- a/crates/rampbay-jobs/tests/planner.rs
+++ b/crates/rampbay-jobs/tests/planner.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::{JobStatus, TaskStatus};
 use rampbay_jobs::job::{Step, Submission, TaskId};
+use rampbay_jobs::plan::{JobStatus, TaskStatus};
 use rampbay_jobs::record::{EndReason, ProgressReport, Record, RunEnd, WorkerRecord};
 use rstest::rstest;
 use support::planner::{PlannerRig, gang, progress};
@@ -56,7 +56,7 @@
 fn new_worker_without_report_not_evicted() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
-        rig.pass(Duration::from_secs(20)).await;
+        rig.advance(Duration::from_secs(20)).await;
         rig.put(&Record::Worker("i-new".to_owned(), Box::new(worker_record("side", "r1", 8))));
         rig.plan();
         assert!(rig.table.evicted.is_empty());
@@ -72,7 +72,7 @@
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 1)));
         rig.plan();
-        rig.pass(Duration::from_secs(1)).await;
+        rig.advance(Duration::from_secs(1)).await;
         for _ in 0..80 {
             tokio::time::sleep(Duration::from_millis(100)).await;
             rig.progress.note_read(Instant::now());
@@ -97,7 +97,7 @@
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         rig.submit(job(JOB, 1, step(1, 8)));
-        rig.pass(Duration::from_secs(1)).await;
+        rig.advance(Duration::from_secs(1)).await;
         rig.plan();
         let first = rig.instance_of(&task(JOB, 0));
         let record = WorkerRecord {
@@ -107,10 +107,10 @@
         };
         rig.put(&Record::Worker(first.clone(), Box::new(record)));
         rig.plan();
-        rig.pass_without(Duration::from_secs(6), &first).await;
+        rig.advance_with_silent(Duration::from_secs(6), &first).await;
         rig.plan();
         assert_eq!(rig.instance_of(&task(JOB, 0)), first, "its last lease may still hold");
-        rig.pass_without(Duration::from_millis(1500), &first).await;
+        rig.advance_with_silent(Duration::from_millis(1500), &first).await;
         rig.plan();
         assert_ne!(rig.instance_of(&task(JOB, 0)), first);
         assert!(!rig.table.workers.contains_key(&first));
@@ -122,10 +122,10 @@
 fn worker_unheard_since_outage_avoided() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
-        rig.pass(Duration::from_secs(1)).await;
+        rig.advance(Duration::from_secs(1)).await;
         // Nothing can be read for a while; then only one agent reports.
         tokio::time::sleep(Duration::from_secs(5)).await;
-        rig.pass_without(Duration::from_millis(1000), "i-0").await;
+        rig.advance_with_silent(Duration::from_millis(1000), "i-0").await;
         rig.submit(job(URGENT, 0, step(1, 1)));
         rig.plan();
         assert_eq!(rig.instance_of(&task(URGENT, 0)), "i-1");
@@ -136,7 +136,7 @@
 fn unreadable_reports_nobody_evicted() {
     on_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
-        rig.pass(Duration::from_secs(1)).await;
+        rig.advance(Duration::from_secs(1)).await;
         tokio::time::sleep(Duration::from_secs(30)).await;
         rig.plan();
         assert!(rig.table.evicted.is_empty());
@@ -158,7 +158,7 @@
             assert_eq!(rig.placed(&task(id, 0)).1, "i-1", "the retry goes elsewhere");
             rig.end(&task(id, 0), EndReason::Done);
             rig.plan();
-            rig.pass(Duration::from_secs(2)).await;
+            rig.advance(Duration::from_secs(2)).await;
         }
         rig.submit(job(URGENT, 1, step(2, 8)));
         rig.plan();
@@ -320,13 +320,13 @@
         rig.submit(timed);
         rig.plan();
         assert_eq!(rig.job_status(JOB), JobStatus::Queued);
-        rig.pass(Duration::from_secs(3)).await;
+        rig.advance(Duration::from_secs(3)).await;
         rig.plan();
         assert_eq!(rig.status_of(&task(JOB, 0)), TaskStatus::Running);
         rig.end(&task(JOB, 0), EndReason::Done);
         rig.plan();
         assert_eq!(rig.job_status(JOB), JobStatus::Running);
-        rig.pass(Duration::from_secs(4)).await;
+        rig.advance(Duration::from_secs(4)).await;
         rig.plan();
         let second = TaskId { occurrence: 1, ..task(JOB, 0) };
         rig.end(&second, EndReason::Done);
@@ -364,10 +364,10 @@
         rig.plan();
         rig.end(&task(JOB, 0), EndReason::Done);
         rig.plan();
-        rig.pass(Duration::from_secs(200)).await;
+        rig.advance(Duration::from_secs(200)).await;
         rig.plan();
         assert!(rig.table.jobs.contains_key(JOB), "callers may still ask");
-        rig.pass(Duration::from_secs(50)).await;
+        rig.advance(Duration::from_secs(50)).await;
         rig.plan();
         assert!(rig.table.jobs.is_empty());
     });
@@ -381,7 +381,7 @@
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(2, 1)));
         rig.plan();
-        rig.pass(Duration::from_secs(2)).await;
+        rig.advance(Duration::from_secs(2)).await;
         tokio::time::sleep(Duration::from_secs(8)).await;
         rig.progress.note_read(Instant::now());
         rig.plan();
--- a/crates/rampbay-jobs/tests/power_losses.rs
+++ b/crates/rampbay-jobs/tests/power_losses.rs
@@ -13,12 +13,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::JobStatus;
 use rampbay_jobs::job::Step;
+use rampbay_jobs::plan::JobStatus;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
-use support::noted::{NotedEnds, assert_runs_once};
+use support::acknowledged::{AcknowledgedEnds, assert_runs_once};
 use support::site::{Site, Work};
 use support::{on_virtual_time, step, table_of};
 use tokio::time::{Instant, sleep};
@@ -101,8 +101,8 @@
     on_virtual_time(async move {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let site = Site::start(4);
-        let mut noted = NotedEnds::watch(&site);
-        tokio::task::spawn_local(Rc::clone(&site.store).land_late());
+        let mut noted = AcknowledgedEnds::watch(&site);
+        tokio::task::spawn_local(Rc::clone(&site.store).apply_late());
         sleep(BEGINS).await;
         *site.store.late.borrow_mut() = Some(ChaCha8Rng::seed_from_u64(seed));
         let mut jobs = 0;
--- a/crates/rampbay-jobs/tests/reborn.rs
+++ b/crates/rampbay-jobs/tests/reborn.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::{EndReason, Record};
 use rstest::rstest;
 use support::store::MemoryStore;
@@ -33,7 +33,7 @@
     sleep(SETTLES).await;
     rig.worker.end(&task(FIRST_JOB, 0), 1, EndReason::Done);
     sleep(SETTLES).await;
-    assert_eq!(rig.worker.seen(), 1);
+    assert_eq!(rig.worker.last_acknowledged(), 1);
     rig
 }
 
@@ -68,7 +68,7 @@
         rig.worker.end(&task(SECOND_JOB, 0), 1, EndReason::Done);
         sleep(SETTLES).await;
         assert!(table_of(&rig.store).has_end(&task(SECOND_JOB, 0), 1));
-        assert_eq!(rig.worker.seen(), 1);
+        assert_eq!(rig.worker.last_acknowledged(), 1);
     });
 }
 
@@ -77,7 +77,7 @@
 fn life_before_given_up_by_listing() {
     on_virtual_time(async {
         let rig = after_first_run().await;
-        rig.hush();
+        rig.stop_heartbeats();
         rig.worker.replace(NEW);
         sleep(SETTLES).await;
         assert!(!is_registered(&rig.store, OLD));
@@ -103,10 +103,10 @@
 fn life_before_takes_note_of_nothing_at_the_next_one() {
     on_virtual_time(async {
         let rig = after_first_run().await;
-        rig.hush();
+        rig.stop_heartbeats();
         rig.worker.replace(NEW);
         sleep(SETTLES).await;
-        assert_eq!(rig.worker.seen(), 0);
+        assert_eq!(rig.worker.last_acknowledged(), 0);
     });
 }
 
@@ -131,10 +131,10 @@
     on_virtual_time(async {
         let rig = after_first_run().await;
         assign(&rig.store, SECOND_JOB, OLD);
-        rig.hush();
+        rig.stop_heartbeats();
         rig.worker.replace(NEW);
         // The order reaches the new life before any listing of it.
-        rig.worker.start_unheard(&task(SECOND_JOB, 0), 1);
+        rig.worker.start_without_agent(&task(SECOND_JOB, 0), 1);
         while is_registered(&rig.store, OLD) {
             sleep(Duration::from_millis(5)).await;
         }
@@ -152,7 +152,7 @@
         rig.kill();
         assign(&store, SECOND_JOB, OLD);
         worker.replace(NEW);
-        worker.start_unheard(&task(SECOND_JOB, 0), 1);
+        worker.start_without_agent(&task(SECOND_JOB, 0), 1);
         let rig = AgentRig::start(Rc::clone(&store), Rc::clone(&worker));
         rig.heartbeat(NEW, 1);
         while is_registered(&store, OLD) {
@@ -176,7 +176,7 @@
         sleep(SETTLES).await;
         seed_running_job(&store, FIRST_JOB, 1, OLD);
         sleep(SETTLES).await;
-        rig.worker.late_calls.set(Some(LateCalls::Notes(LATE)));
+        rig.worker.late_calls.set(Some(LateCalls::Acknowledgements(LATE)));
         rig.worker.end(&task(FIRST_JOB, 0), 1, EndReason::Done);
         sleep(Duration::from_millis(500)).await;
         assert!(table_of(&store).has_end(&task(FIRST_JOB, 0), 1));
--- a/crates/rampbay-jobs/tests/refusals.rs
+++ b/crates/rampbay-jobs/tests/refusals.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::EndReason;
 use support::planner::{PlannerRig, gang};
 use support::{job, on_virtual_time, step, task};
--- a/crates/rampbay-jobs/tests/removals.rs
+++ b/crates/rampbay-jobs/tests/removals.rs
@@ -8,10 +8,10 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::JobPlan;
 use rampbay_jobs::keys::plan_key;
+use rampbay_jobs::plan::JobPlan;
 use rampbay_jobs::record::{EndReason, KeyedRecord, Record};
-use rampbay_jobs::store::{BYTES_PER_APPEND, appends};
+use rampbay_jobs::store::{BYTES_PER_APPEND, split_into_appends};
 use rampbay_jobs::table::JobTable;
 use support::planner::PlannerRig;
 use support::{job, on_virtual_time, settings, step, task};
@@ -26,7 +26,7 @@
     rig.plan();
     rig.end(&task(JOB, 0), EndReason::Done);
     rig.plan();
-    rig.pass(settings().planner().keep_ended + Duration::from_secs(2)).await;
+    rig.advance(settings().planner().ended_job_retention + Duration::from_secs(2)).await;
     let plan = rig.table.jobs[JOB].plan.clone().expect("an account");
     (rig.round(), plan.as_ref().clone())
 }
@@ -45,7 +45,7 @@
             let value = vec![0; BYTES_PER_APPEND - key.len() - room];
             let before = KeyedRecord { key: key.clone(), value };
             let records: Vec<KeyedRecord> = [before].into_iter().chain(removal.clone()).collect();
-            let first = appends(&records).next().expect("an append");
+            let first = split_into_appends(&records).next().expect("an append");
             let is_removed = |record: &KeyedRecord| first.iter().any(|gone| gone.key == record.key);
             let left: Vec<KeyedRecord> =
                 kept.iter().filter(|record| !is_removed(record)).cloned().collect();
--- a/crates/rampbay-jobs/tests/returns.rs
+++ b/crates/rampbay-jobs/tests/returns.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use rampbay_jobs::account::TaskStatus;
 use rampbay_jobs::agent::{AgentHost, AgentParts, Heartbeat};
 use rampbay_jobs::follower::Pace;
 use rampbay_jobs::keys::{eviction_key, refusal_key, worker_key};
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::process::LiveTable;
 use rampbay_jobs::record::{EndReason, Record, RunEnd, STATE_TOPIC};
 use rampbay_jobs::store::Store;
@@ -19,9 +19,9 @@
     Listing, RenewOrder, StartOrder, Started, StopOrder, Worker, WorkerError,
 };
 use rstest::rstest;
+use support::faulty_store::FaultyStore;
 use support::leader::start_leader;
 use support::store::MemoryStore;
-use support::way::Way;
 use support::worker::{Client, FakeWorker};
 use support::{
     AgentRig, job, on_virtual_time, plan_of, running_plan, seed_running_job, settings, step,
@@ -74,8 +74,8 @@
         store.put(&Record::Plan(JOB.to_owned(), Box::new(plan)));
         start_leader(&store, "entry-1", 1, None);
         sleep(STARTS).await;
-        let way = Way::new(&store, 1);
-        let rig = AgentRig::start_over(Rc::clone(&store), way, FakeWorker::new(WORKER));
+        let way = FaultyStore::new(&store, 1);
+        let rig = AgentRig::start_with_store(Rc::clone(&store), way, FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
         sleep(SETTLES).await;
         let plan = plan_of(&store, JOB);
@@ -90,8 +90,8 @@
         let store = MemoryStore::new();
         seed_with_predecessor(&store);
         refuse_by_predecessor(&store);
-        let way = Way::new(&store, 1);
-        let rig = AgentRig::start_over(Rc::clone(&store), way, FakeWorker::new(WORKER));
+        let way = FaultyStore::new(&store, 1);
+        let rig = AgentRig::start_with_store(Rc::clone(&store), way, FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
         sleep(Duration::from_millis(40)).await;
         start_leader(&store, "entry-1", 1, None);
@@ -122,7 +122,7 @@
             sleep(Duration::from_millis(1)).await;
         }
         // A stop takes its time.
-        rig.worker.stops_hang.set(true);
+        rig.worker.ignores_stops.set(true);
         sleep(Duration::from_millis(20)).await;
         // The leader's append, decided before the return (planner/evict.rs, `remove_worker`).
         registered.iter().for_each(|key| store.remove(key));
@@ -131,7 +131,7 @@
         for _ in 0..300 {
             sleep(Duration::from_millis(1)).await;
             let plan = plan_of(&store, JOB);
-            let elsewhere = plan.occupies() && plan.instance == OTHER;
+            let elsewhere = plan.may_be_running() && plan.instance == OTHER;
             assert!(
                 !elsewhere || rig.worker.running().is_empty(),
                 "{plan:?} {:?}",
@@ -149,8 +149,9 @@
         on_virtual_time(async {
             let store = MemoryStore::new();
             store.append_delay.set(Duration::from_millis(append));
-            let way = Way::new(&store, 0);
-            let rig = AgentRig::start_over(Rc::clone(&store), way.clone(), FakeWorker::new(WORKER));
+            let way = FaultyStore::new(&store, 0);
+            let rig =
+                AgentRig::start_with_store(Rc::clone(&store), way.clone(), FakeWorker::new(WORKER));
             rig.heartbeat(WORKER, 1);
             start_leader(&store, "entry-1", 1, None);
             sleep(STARTS + Duration::from_millis(phase)).await;
@@ -193,8 +194,9 @@
             store.put_into(STATE_TOPIC, &worker_key(WORKER, number), &known.encode().value);
             store.remove(&worker_key(WORKER, 0));
         }
-        let way = Way::new(&store, u32::MAX);
-        let rig = AgentRig::start_over(Rc::clone(&store), way.clone(), FakeWorker::new(WORKER));
+        let way = FaultyStore::new(&store, u32::MAX);
+        let rig =
+            AgentRig::start_with_store(Rc::clone(&store), way.clone(), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
         sleep(STARTS).await;
         assert_eq!(rig.worker.starts(), vec![]);
@@ -324,8 +326,8 @@
                     delayed: Rc::clone(&count),
                 })
             }),
-            succession: |_, _| None,
-            began: |_| None,
+            compare_incarnations: |_, _| None,
+            incarnation_start: |_| None,
             wall_clock: || 1_000_000,
             settings: settings().agent(),
         });
--- a/crates/rampbay-jobs/tests/rounds.rs
+++ b/crates/rampbay-jobs/tests/rounds.rs
@@ -9,8 +9,8 @@
 
 use std::sync::Mutex;
 
-use rampbay_jobs::account::TaskStatus;
 use rampbay_jobs::metrics::metrics;
+use rampbay_jobs::plan::TaskStatus;
 use support::planner::{PlannerRig, gang};
 use support::{job, on_virtual_time, step};
 
--- a/crates/rampbay-jobs/tests/shrinking.rs
+++ b/crates/rampbay-jobs/tests/shrinking.rs
@@ -6,15 +6,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::{JobStatus, TaskStatus};
 use rampbay_jobs::job::Resources;
+use rampbay_jobs::plan::{JobStatus, TaskStatus};
 use rampbay_jobs::record::{EndReason, Leader, Record, WorkerRecord};
 use rampbay_jobs::settings::Settings;
 use rstest::rstest;
 use support::planner::PlannerRig;
 use support::site::{DEVICES, Site, Start, Work};
 use support::store::MemoryStore;
-use support::worker::{FakeWorker, StartTrouble};
+use support::worker::{FakeWorker, StartFault};
 use support::{
     AgentRig, job, on_virtual_time, plan_of, running_plan, seed_running_job, settings, step,
     table_of, task, worker_record,
@@ -93,7 +93,7 @@
 fn start_ordered_again_goes_by_present_room() {
     on_virtual_time(async {
         let rig = running_rig().await;
-        rig.worker.see_fence(9);
+        rig.worker.observe_fencing_token(9);
         assign_more(&rig);
         sleep(SETTLES).await;
         assert_eq!(starts_of_other(&rig), 0, "the token is too low");
@@ -110,7 +110,7 @@
 fn lost_start_ordered_again_goes_by_present_room() {
     on_virtual_time(async {
         let rig = running_rig().await;
-        rig.worker.start_trouble.set(StartTrouble::FirstOrderLost);
+        rig.worker.start_fault.set(StartFault::FirstOrderLost);
         rig.store.put(&Record::Submitted(Box::new(job(OTHER, 1, step(1, 1)))));
         rig.store.put(&Record::Plan(OTHER.to_owned(), Box::new(running_plan(1, WORKER, 1))));
         sleep(SETTLES).await;
@@ -128,8 +128,8 @@
 fn run_of_unknown_job_keeps_others_from_starting() {
     on_virtual_time(async {
         let rig = running_rig().await;
-        rig.worker.stops_hang.set(true);
-        rig.worker.start_unheard(&task("00000000000000dd", 0), 1);
+        rig.worker.ignores_stops.set(true);
+        rig.worker.start_without_agent(&task("00000000000000dd", 0), 1);
         sleep(Duration::from_millis(1500)).await;
         assign_more(&rig);
         sleep(SETTLES).await;
@@ -161,7 +161,7 @@
 fn start_at_a_worker_not_heard_for_long_refused() {
     on_virtual_time(async {
         let rig = running_rig().await;
-        rig.hush();
+        rig.stop_heartbeats();
         sleep(Duration::from_secs(4)).await;
         assign_more(&rig);
         sleep(SETTLES).await;
@@ -241,7 +241,7 @@
 #[case::short(500, 400, 400)]
 fn age_of_account(#[case] awareness_ms: u64, #[case] heartbeat_ms: u64, #[case] expected_ms: u64) {
     let settings = Settings { awareness_ms, heartbeat_ms, ..settings() };
-    assert_eq!(settings.agent().room_age, Duration::from_millis(expected_ms));
+    assert_eq!(settings.agent().max_heartbeat_age, Duration::from_millis(expected_ms));
 }
 
 /// Hands in jobs of eight tasks, more of them while rooms are small.
@@ -269,7 +269,8 @@
         shrunk.iter().for_each(|machine| machine.devices.set(DEVICES));
         sleep(LONG).await;
         let starts = site.starts.borrow();
-        let beyond: Vec<&Start> = starts.iter().filter(|s| s.beside as u64 >= s.room).collect();
+        let beyond: Vec<&Start> =
+            starts.iter().filter(|s| s.runs_beside as u64 >= s.known_devices).collect();
         assert!(beyond.is_empty(), "{beyond:?}");
         for id in &ids {
             assert_eq!(site.status(id), JobStatus::Succeeded, "{:?}", site.starts_of(id));
--- a/crates/rampbay-jobs/tests/support/noted.rs
+++ b/crates/rampbay-jobs/tests/support/acknowledged.rs
@@ -10,19 +10,19 @@
 use super::site::Site;
 
 /// Ends as done that workers were told to forget.
-pub struct NotedEnds {
+pub struct AcknowledgedEnds {
     noted: Rc<RefCell<BTreeMap<TaskId, u32>>>,
     /// Number of starts that have been checked.
     checked: usize,
 }
 
-impl NotedEnds {
+impl AcknowledgedEnds {
     /// Watches all workers of a site.
     pub fn watch(site: &Site) -> Self {
         let noted = Rc::default();
         for machine in &site.machines {
             let noted: Rc<RefCell<BTreeMap<TaskId, u32>>> = Rc::clone(&noted);
-            *machine.worker.on_note.borrow_mut() = Some(Rc::new(move |end| {
+            *machine.worker.on_acknowledge.borrow_mut() = Some(Rc::new(move |end| {
                 if end.reason == EndReason::Done {
                     noted.borrow_mut().insert(end.task.clone(), end.attempt);
                 }
--- a/crates/rampbay-jobs/tests/support/entry.rs
+++ b/crates/rampbay-jobs/tests/support/entry.rs
@@ -14,12 +14,12 @@
 use super::store::MemoryStore;
 
 /// A store whose state is read through an entry.
-pub struct ThroughEntry {
+pub struct EntryRelayedStore {
     store: Rc<MemoryStore>,
     followed: Rc<Freshness>,
 }
 
-impl ThroughEntry {
+impl EntryRelayedStore {
     /// Starts an entry that follows the store.
     pub fn start(store: &Rc<MemoryStore>) -> Rc<Self> {
         let live = LiveTable::default();
@@ -33,8 +33,8 @@
 }
 
 #[async_trait(?Send)]
-impl Layer for ThroughEntry {
-    fn below(&self) -> &dyn Store {
+impl Layer for EntryRelayedStore {
+    fn inner(&self) -> &dyn Store {
         self.store.as_ref()
     }
 
--- a/crates/rampbay-jobs/tests/support/way.rs
+++ b/crates/rampbay-jobs/tests/support/faulty_store.rs
@@ -16,7 +16,7 @@
 const FAILS_AFTER: Duration = Duration::from_millis(100);
 
 /// A way to the store.
-pub struct Way {
+pub struct FaultyStore {
     store: Rc<MemoryStore>,
     /// How many appends with a registration are turned away.
     pub refused_registrations: Cell<u32>,
@@ -24,7 +24,7 @@
     pub cut: Cell<bool>,
 }
 
-impl Way {
+impl FaultyStore {
     /// Makes a way that turns the first registrations away.
     pub fn new(store: &Rc<MemoryStore>, refused: u32) -> Rc<Self> {
         Rc::new(Self {
@@ -36,8 +36,8 @@
 }
 
 #[async_trait(?Send)]
-impl Layer for Way {
-    fn below(&self) -> &dyn Store {
+impl Layer for FaultyStore {
+    fn inner(&self) -> &dyn Store {
         self.store.as_ref()
     }
 
--- a/crates/rampbay-jobs/tests/support/fleet.rs
+++ b/crates/rampbay-jobs/tests/support/fleet.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
 use rampbay_jobs::drained::DrainedDomains;
 use rampbay_jobs::job::{Resources, Step, Submission, TaskId};
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::planner::{Planner, ProgressTable, RoundInputs};
 use rampbay_jobs::record::{
     EndReason, KeyedRecord, ProgressReport, Record, RunEnd, RunProgress, WorkerRecord,
@@ -184,7 +184,7 @@
             table: &self.table,
             routing: &self.routing,
             drained: &DrainedDomains::default(),
-            operators_age: Some(Duration::ZERO),
+            drain_orders_age: Some(Duration::ZERO),
             progress: &self.progress,
             now: self.started.elapsed(),
             wall: 1_000_000 + self.ticks * TICK.as_millis() as u64,
@@ -218,7 +218,7 @@
         let mut occupying = BTreeMap::new();
         for (id, job) in &self.table.jobs {
             let Some(plan) = &job.plan else { continue };
-            let tasks = plan.tasks(id).filter(|(_, task)| task.occupies());
+            let tasks = plan.tasks(id).filter(|(_, task)| task.may_be_running());
             occupying.extend(tasks.map(|(id, task)| ((id, task.attempt), task.status)));
         }
         occupying
--- a/crates/rampbay-jobs/tests/support/intake.rs
+++ b/crates/rampbay-jobs/tests/support/intake.rs
@@ -13,7 +13,7 @@
 use super::store::MemoryStore;
 
 /// The intake of an entry, with what it goes by.
-pub struct Rig {
+pub struct IntakeRig {
     /// The store.
     pub store: Rc<MemoryStore>,
     /// The table.
@@ -24,7 +24,7 @@
     pub intake: Intake,
 }
 
-impl Rig {
+impl IntakeRig {
     /// Starts an entry's intake; the configuration is known, and stays as old as the table.
     pub fn start() -> Self {
         let store = MemoryStore::new();
@@ -54,7 +54,7 @@
             configuration_age: Duration::from_millis(2750),
             usual_wait: Duration::from_millis(800),
             store_age: Duration::from_millis(2200),
-            most_waiting: 2,
+            max_waiting: 2,
             table_age: Duration::from_millis(3000),
         };
         let intake = Intake::new(
@@ -69,13 +69,13 @@
 
     /// Submits a job whose caller waits so long.
     pub async fn submit(&self, job: Submission, waits: Duration) -> Result<(), Refusal> {
-        self.intake.submit(job, self.intake.patience(Some(waits))).await
+        self.intake.submit(job, self.intake.wait_budget(Some(waits))).await
     }
 
     /// Asks for admission with the key, for a caller that waits so long.
     pub async fn admit(&self, waits: Duration) -> Result<Admission, Refusal> {
         let target = CallTarget { host: "host", path: "/keyed/x", key: Some("key") };
-        self.intake.admit(target, self.intake.patience(Some(waits))).await
+        self.intake.admit(target, self.intake.wait_budget(Some(waits))).await
     }
 }
 
--- a/crates/rampbay-jobs/tests/support/leader.rs
+++ b/crates/rampbay-jobs/tests/support/leader.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::candidacy::{Candidate, Successors, Vigil};
+use rampbay_jobs::candidacy::{Candidate, LeaderPollers, PreferredLeaders};
 use rampbay_jobs::follower::{Pace, Sink, follow};
 use rampbay_jobs::intake::CurrentRouting;
 use rampbay_jobs::leader::{self, LeaderParts};
@@ -39,19 +39,19 @@
 /// Asks the store who leads, and stands at once.
 struct Asks;
 
-impl Vigil for Asks {
-    fn place(&self) -> Option<usize> {
+impl LeaderPollers for Asks {
+    fn rank(&self) -> Option<usize> {
         Some(0)
     }
 }
 
-/// Starts a process that stands for leadership and plans while it leads. One with `successors` has
+/// Starts a process that stands for leadership and plans while it leads. One with `preferred_leaders` has
 /// little room itself.
 pub fn start_leader(
     store: &Rc<MemoryStore>,
     node: &str,
     salt: u64,
-    successors: Option<Rc<dyn Successors>>,
+    preferred_leaders: Option<Rc<dyn PreferredLeaders>>,
 ) -> JoinHandle<()> {
     let shared: Rc<dyn Store> = store.clone();
     let live = LiveTable::default();
@@ -71,8 +71,8 @@
             node: node.to_owned(),
             store: shared,
             interval: Duration::from_millis(333),
-            successors,
-            vigil: Rc::new(Asks),
+            preferred_leaders,
+            leader_pollers: Rc::new(Asks),
             freshness: live.freshness,
             salt,
         },
--- a/crates/rampbay-jobs/tests/support/mod.rs
+++ b/crates/rampbay-jobs/tests/support/mod.rs
@@ -1,26 +1,26 @@
 //! In-memory fakes of the store and of a worker, on virtual time.
 #![allow(dead_code, reason = "each test file uses some of the fakes")]
 
+pub mod acknowledged;
 pub mod entry;
+pub mod faulty_store;
 pub mod fleet;
 pub mod intake;
 pub mod leader;
-pub mod noted;
 pub mod planner;
 pub mod property;
 pub mod site;
 pub mod store;
-pub mod way;
 pub mod worker;
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::{JobPlan, JobStatus, Occurrence, TaskPlan, TaskStatus};
 use rampbay_jobs::agent::{AgentHost, AgentParts, Heartbeat};
 use rampbay_jobs::follower::Pace;
 use rampbay_jobs::job::{Resources, Step, Submission, TaskId};
+use rampbay_jobs::plan::{JobPlan, JobStatus, Occurrence, TaskPlan, TaskStatus};
 use rampbay_jobs::process::LiveTable;
 use rampbay_jobs::record::{Leader, Record, WorkerRecord};
 use rampbay_jobs::settings::Settings;
@@ -38,7 +38,7 @@
         .start_paused(true)
         .build()
         .expect("a runtime");
-    rampbay_jobs::clock::use_source(time_with_suspension);
+    rampbay_jobs::clock::set_clock_source(time_with_suspension);
     SUSPENDED.set(Duration::ZERO);
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
@@ -157,11 +157,11 @@
     /// Starts an agent process on a store and a worker that may exist already.
     pub fn start(store: Rc<MemoryStore>, worker: Rc<FakeWorker>) -> Self {
         let shared: Rc<dyn Store> = store.clone();
-        Self::start_over(store, shared, worker)
+        Self::start_with_store(store, shared, worker)
     }
 
     /// Starts an agent process whose way to the store is another.
-    pub fn start_over(
+    pub fn start_with_store(
         store: Rc<MemoryStore>,
         shared: Rc<dyn Store>,
         worker: Rc<FakeWorker>,
@@ -186,8 +186,8 @@
             connect: Box::new(move |_, instance| -> Rc<dyn Worker> {
                 Rc::new(worker::Client::new(Rc::clone(&connected), instance))
             }),
-            succession: worker::succession,
-            began: worker::began,
+            compare_incarnations: worker::compare_incarnations,
+            incarnation_start: worker::start_time,
             wall_clock: virtual_wall_clock,
             settings: settings().agent(),
         });
@@ -218,7 +218,7 @@
     }
 
     /// Lets the worker send no more heartbeats, though it answers.
-    pub fn hush(&self) {
+    pub fn stop_heartbeats(&self) {
         *self.latest.borrow_mut() = None;
     }
 
