--- a/crates/rampbay-jobs/tests/support/planner.rs
+++ b/crates/rampbay-jobs/tests/support/planner.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::{JobStatus, TaskStatus};
 use rampbay_jobs::drained::DrainedDomains;
 use rampbay_jobs::job::{Step, Submission, TaskId};
+use rampbay_jobs::plan::{JobStatus, TaskStatus};
 use rampbay_jobs::planner::{Planner, ProgressTable, RoundInputs};
 use rampbay_jobs::record::{
     EndReason, KeyedRecord, ProgressReport, Record, RunEnd, RunProgress, WorkerRecord,
@@ -28,7 +28,7 @@
     /// The failure domains that operators have drained.
     pub drained: DrainedDomains,
     /// Age of what is known of the operators' orders.
-    pub operators_age: Option<Duration>,
+    pub drain_orders_age: Option<Duration>,
     /// When the planner began.
     pub started: Instant,
     /// Time of day.
@@ -44,7 +44,7 @@
             progress: ProgressTable::default(),
             routing: Routing::default(),
             drained: DrainedDomains::default(),
-            operators_age: Some(Duration::ZERO),
+            drain_orders_age: Some(Duration::ZERO),
             started: Instant::now(),
             wall: 2_000,
         };
@@ -90,7 +90,7 @@
             table: &self.table,
             routing: &self.routing,
             drained: &self.drained,
-            operators_age: self.operators_age,
+            drain_orders_age: self.drain_orders_age,
             progress: &self.progress,
             now: self.started.elapsed(),
             wall: self.wall,
@@ -110,12 +110,12 @@
     }
 
     /// Lets time pass in which all agents report.
-    pub async fn pass(&mut self, time: Duration) {
-        self.pass_without(time, "").await;
+    pub async fn advance(&mut self, time: Duration) {
+        self.advance_with_silent(time, "").await;
     }
 
     /// Lets time pass in which all agents but one report.
-    pub async fn pass_without(&mut self, time: Duration, silent: &str) {
+    pub async fn advance_with_silent(&mut self, time: Duration, silent: &str) {
         let end = Instant::now() + time;
         while Instant::now() < end {
             tokio::time::sleep(Duration::from_millis(500)).await;
@@ -142,8 +142,9 @@
         let mut runs = Vec::new();
         for (id, job) in &self.table.jobs {
             let Some(plan) = &job.plan else { continue };
-            let here =
-                plan.tasks(id).filter(|(_, task)| task.instance == instance && task.occupies());
+            let here = plan
+                .tasks(id)
+                .filter(|(_, task)| task.instance == instance && task.may_be_running());
             runs.extend(here.map(|(id, task)| (id, task.attempt)));
         }
         runs
--- a/crates/rampbay-jobs/tests/support/site.rs
+++ b/crates/rampbay-jobs/tests/support/site.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::JobStatus;
 use rampbay_jobs::agent::Heartbeat;
 use rampbay_jobs::job::{JobId, Step, TaskId};
+use rampbay_jobs::plan::JobStatus;
 use rampbay_jobs::record::{EndReason, Record, WorkerRecord};
 use rampbay_jobs::store::Store;
 use tokio::task::JoinHandle;
@@ -52,9 +52,9 @@
     /// When.
     pub at: Instant,
     /// Number of other runs there at that time.
-    pub beside: usize,
+    pub runs_beside: usize,
     /// Number of accelerators that the worker had last told of.
-    pub room: u64,
+    pub known_devices: u64,
 }
 
 /// A machine.
@@ -118,7 +118,7 @@
                 Some(Rc::new(move |task, attempt| site.take_start(&hooked, task, attempt)));
             tokio::task::spawn_local(send_heartbeats(machine));
         }
-        site.lead_anew();
+        site.replace_leader();
         site
     }
 
@@ -131,11 +131,11 @@
     }
 
     /// Ends the process that leads; another one follows.
-    pub fn lead_anew(&self) {
+    pub fn replace_leader(&self) {
         if let Some(leader) = self.leader.borrow_mut().take() {
             leader.abort();
         }
-        self.store.lapse();
+        self.store.expire_leader();
         let number = self.leaders.get() + 1;
         self.leaders.set(number);
         let leader = start_leader(&self.store, &format!("entry-{number}"), number, None);
@@ -160,7 +160,7 @@
     }
 
     fn lose_power_at(self: &Rc<Self>, machine: &Rc<Machine>, pause: Duration) {
-        self.take_agent(machine);
+        self.remove_agent(machine);
         let life = machine.lives.get() + 1;
         machine.lives.set(life);
         machine.worker.gone.set(true);
@@ -204,10 +204,17 @@
     }
 
     fn take_start(self: &Rc<Self>, machine: &Rc<Machine>, task: &TaskId, attempt: u32) {
-        let beside = machine.worker.running().len() - 1;
+        let runs_beside = machine.worker.running().len() - 1;
         let at = Instant::now();
-        let room = machine.told_devices.get();
-        let start = Start { task: task.clone(), attempt, machine: machine.index, at, beside, room };
+        let known_devices = machine.told_devices.get();
+        let start = Start {
+            task: task.clone(),
+            attempt,
+            machine: machine.index,
+            at,
+            runs_beside,
+            known_devices,
+        };
         self.starts.borrow_mut().push(start);
         let Some(work) = self.works.borrow().get(&task.job).copied() else { return };
         let run = StartedRun {
@@ -244,14 +251,14 @@
     }
 
     /// Ends a machine's worker for good, without good-bye.
-    pub fn take_worker(&self, machine: &Machine) {
+    pub fn remove_worker(&self, machine: &Machine) {
         machine.lives.set(machine.lives.get() + 1);
         machine.worker.gone.set(true);
         machine.worker.replace("none");
     }
 
     /// Ends the process of a machine's agent for good.
-    pub fn take_agent(&self, machine: &Machine) {
+    pub fn remove_agent(&self, machine: &Machine) {
         if let Some(agent) = machine.agent.borrow_mut().take() {
             agent.kill();
         }
--- a/crates/rampbay-jobs/tests/support/store.rs
+++ b/crates/rampbay-jobs/tests/support/store.rs
@@ -17,7 +17,7 @@
 
 /// What is wrong with the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Trouble {
+pub enum StoreFault {
     /// Nothing.
     #[default]
     None,
@@ -53,7 +53,7 @@
     epochs: RefCell<BTreeMap<String, (u64, u64)>>,
     appended: Notify,
     /// What is wrong.
-    pub trouble: Cell<Trouble>,
+    pub fault: Cell<StoreFault>,
     /// How long every append takes.
     pub append_delay: Cell<Duration>,
     /// How long every answer to a read takes.
@@ -61,7 +61,7 @@
     /// Who leads.
     pub leader: RefCell<Option<(String, u64)>>,
     /// Whether leadership is dealt to each process that joins the group of candidates.
-    pub deals_to_newcomers: Cell<bool>,
+    pub elects_newcomers: Cell<bool>,
     candidates: RefCell<BTreeSet<String>>,
     /// Whether appends without a fence get no answer and aren't carried out yet.
     pub holds_appends: Cell<bool>,
@@ -82,7 +82,7 @@
     }
 
     /// Lets the leader's place lapse.
-    pub fn lapse(&self) {
+    pub fn expire_leader(&self) {
         if let Some((leader, _)) = self.leader.borrow_mut().take() {
             self.candidates.borrow_mut().remove(&leader);
         }
@@ -116,7 +116,7 @@
     }
 
     /// Carries out, in their order, the appends that were held back.
-    pub fn land_held(&self) {
+    pub fn apply_held(&self) {
         for (topic, records) in self.held.take() {
             self.push(&topic, &records);
         }
@@ -124,7 +124,7 @@
 
     /// Carries out once more what was appended to the state from one offset to another: copies of calls
     /// that had no answer and were repeated.
-    pub fn land_again(&self, from: usize, to: usize) {
+    pub fn apply_again(&self, from: usize, to: usize) {
         let copies = self.all(STATE_TOPIC)[from..to].to_vec();
         self.push(STATE_TOPIC, &copies);
     }
@@ -160,7 +160,7 @@
     }
 
     /// Carries out late appends when they are due, for ever.
-    pub async fn land_late(self: Rc<Self>) {
+    pub async fn apply_late(self: Rc<Self>) {
         loop {
             tokio::time::sleep(Duration::from_millis(3)).await;
             let now = tokio::time::Instant::now();
@@ -200,7 +200,7 @@
         fence: Option<&Fence>,
     ) -> Result<Offset, AppendError> {
         tokio::time::sleep(self.append_delay.get() + Duration::from_millis(4)).await;
-        if self.trouble.get() == Trouble::Refuses {
+        if self.fault.get() == StoreFault::Refuses {
             return Err(AppendError::Refused);
         }
         if fence.is_none() && self.holds_appends.get() {
@@ -229,7 +229,7 @@
             Some(fence) => self.fenced_push(topic, records, fence).ok_or(AppendError::Fenced)?,
             None => self.push(topic, records),
         };
-        if self.trouble.get() == Trouble::LosesAnswers {
+        if self.fault.get() == StoreFault::LosesAnswers {
             tokio::time::sleep(Duration::from_millis(600)).await;
             return Err(AppendError::Unknown);
         }
@@ -241,7 +241,7 @@
         tokio::time::sleep(Duration::from_millis(2)).await;
         let deadline = tokio::time::Instant::now() + wait;
         loop {
-            if self.trouble.get() == Trouble::Refuses {
+            if self.fault.get() == StoreFault::Refuses {
                 return Err(ReadError::Unavailable);
             }
             let first = self.first_kept.borrow().get(topic).copied().unwrap_or(0);
@@ -268,7 +268,7 @@
     async fn newest(&self, topic: &str) -> Result<Snapshot, ReadError> {
         self.newest_reads.set(self.newest_reads.get() + 1);
         tokio::time::sleep(Duration::from_millis(2)).await;
-        if self.trouble.get() == Trouble::Refuses {
+        if self.fault.get() == StoreFault::Refuses {
             return Err(ReadError::Unavailable);
         }
         let records = self.all(topic);
@@ -279,8 +279,8 @@
         Ok(Snapshot { records, read_from: end, end, age: Duration::ZERO })
     }
 
-    async fn stand(&self, member: &str, _: u64) -> Result<Candidacy, ReadError> {
-        if self.trouble.get() == Trouble::Refuses {
+    async fn stand_for_election(&self, member: &str, _: u64) -> Result<Candidacy, ReadError> {
+        if self.fault.get() == StoreFault::Refuses {
             return Err(ReadError::Unavailable);
         }
         if *self.hanging_candidate.borrow() == member {
@@ -288,7 +288,7 @@
         }
         let mut leader = self.leader.borrow_mut();
         let is_new = self.candidates.borrow_mut().insert(member.to_owned());
-        if is_new && self.deals_to_newcomers.get() {
+        if is_new && self.elects_newcomers.get() {
             let generation = leader.as_ref().map_or(0, |(_, generation)| *generation) + 1;
             *leader = Some((member.to_owned(), generation));
         }
@@ -305,7 +305,7 @@
     }
 
     async fn holder(&self) -> Result<Option<NodeName>, ReadError> {
-        if self.trouble.get() == Trouble::Refuses {
+        if self.fault.get() == StoreFault::Refuses {
             return Err(ReadError::Unavailable);
         }
         Ok(self.leader.borrow().as_ref().map(|(name, _)| name.clone()))
--- a/crates/rampbay-jobs/tests/support/worker.rs
+++ b/crates/rampbay-jobs/tests/support/worker.rs
@@ -16,7 +16,7 @@
 
 /// How a worker treats starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum StartTrouble {
+pub enum StartFault {
     /// It carries them out and answers.
     #[default]
     None,
@@ -40,7 +40,7 @@
     /// Starts.
     Starts(Duration),
     /// Renewals that let the worker forget ends.
-    Notes(Duration),
+    Acknowledgements(Duration),
 }
 
 #[derive(Default)]
@@ -62,7 +62,7 @@
 /// Is told of a task and an attempt.
 pub type OnStart = Rc<dyn Fn(&TaskId, u32)>;
 /// Is told of an end that was taken note of while the worker's leases lasted.
-pub type OnNote = Rc<dyn Fn(&ListedEnd)>;
+pub type OnAcknowledge = Rc<dyn Fn(&ListedEnd)>;
 
 /// The worker; a client reaches only the life that it names.
 pub struct FakeWorker {
@@ -75,13 +75,13 @@
     /// Whether nobody listens at its address any more.
     pub gone: Cell<bool>,
     /// How it treats starts.
-    pub start_trouble: Cell<StartTrouble>,
+    pub start_fault: Cell<StartFault>,
     /// Is told of each start that is carried out.
     pub on_start: RefCell<Option<OnStart>>,
     /// Is told of each end that its agent takes note of.
-    pub on_note: RefCell<Option<OnNote>>,
+    pub on_acknowledge: RefCell<Option<OnAcknowledge>>,
     /// Whether runs go on after their stop was answered.
-    pub stops_hang: Cell<bool>,
+    pub ignores_stops: Cell<bool>,
     /// Calls that are carried out late.
     pub late_calls: Cell<Option<LateCalls>>,
 }
@@ -98,10 +98,10 @@
             instance: RefCell::new(instance.to_owned()),
             silent: Cell::new(false),
             gone: Cell::new(false),
-            start_trouble: Cell::default(),
+            start_fault: Cell::default(),
             on_start: RefCell::default(),
-            on_note: RefCell::default(),
-            stops_hang: Cell::new(false),
+            on_acknowledge: RefCell::default(),
+            ignores_stops: Cell::new(false),
             late_calls: Cell::default(),
         })
     }
@@ -115,13 +115,13 @@
     }
 
     /// Carries out a start whose answer an earlier agent didn't hear.
-    pub fn start_unheard(&self, task: &TaskId, attempt: u32) {
+    pub fn start_without_agent(&self, task: &TaskId, attempt: u32) {
         self.take_lease(self.clock() + 6000);
         self.state.borrow_mut().running.insert((task.clone(), attempt), Instant::now());
     }
 
     /// Takes a fencing token, after which lower ones are turned away.
-    pub fn see_fence(&self, token: u64) {
+    pub fn observe_fencing_token(&self, token: u64) {
         self.state.borrow_mut().fence = token;
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Returns the number of the last end that was taken note of.
-    pub fn seen(&self) -> u64 {
+    pub fn last_acknowledged(&self) -> u64 {
         self.state.borrow().seen
     }
 
@@ -208,8 +208,10 @@
             self.take_lease(until);
         }
         let noted = self.state.borrow_mut().forget(order.last_seen);
-        let on_note = self.on_note.borrow().clone();
-        on_note.into_iter().for_each(|on_note| noted.iter().for_each(|end| on_note(end)));
+        let on_acknowledge = self.on_acknowledge.borrow().clone();
+        on_acknowledge
+            .into_iter()
+            .for_each(|on_acknowledge| noted.iter().for_each(|end| on_acknowledge(end)));
         true
     }
 
@@ -252,13 +254,13 @@
 }
 
 /// Compares two lives of one worker, `NAME~NUMBER`, by their numbers; `None` for lives of two workers.
-pub fn succession(one: &str, other: &str) -> Option<Ordering> {
+pub fn compare_incarnations(one: &str, other: &str) -> Option<Ordering> {
     let is_same = one.contains('~') && other.contains('~') && name(one) == name(other);
-    is_same.then(|| began(one).cmp(&began(other)))
+    is_same.then(|| start_time(one).cmp(&start_time(other)))
 }
 
 /// Returns when a life began, `NAME~NUMBER`: its number.
-pub fn began(instance: &str) -> Option<EpochMillis> {
+pub fn start_time(instance: &str) -> Option<EpochMillis> {
     instance.split_once('~')?.1.parse().ok()
 }
 
@@ -331,20 +333,20 @@
             let order = order.clone();
             return self.later(after, move |worker| _ = worker.carry_out_start(&order)).await;
         }
-        let trouble = self.worker.start_trouble.get();
-        if trouble == StartTrouble::Unhealthy {
+        let trouble = self.worker.start_fault.get();
+        if trouble == StartFault::Unhealthy {
             return Ok(Started::No(Refusal::Unhealthy));
         }
-        if trouble == StartTrouble::FirstRefused {
-            self.worker.start_trouble.set(StartTrouble::None);
+        if trouble == StartFault::FirstRefused {
+            self.worker.start_fault.set(StartFault::None);
             return Ok(Started::No(Refusal::Unhealthy));
         }
-        let lost = matches!(trouble, StartTrouble::OrderLost | StartTrouble::FirstOrderLost);
-        if trouble == StartTrouble::AnswerLostThenUnhealthy {
-            self.worker.start_trouble.set(StartTrouble::Unhealthy);
+        let lost = matches!(trouble, StartFault::OrderLost | StartFault::FirstOrderLost);
+        if trouble == StartFault::AnswerLostThenUnhealthy {
+            self.worker.start_fault.set(StartFault::Unhealthy);
         }
-        if trouble == StartTrouble::FirstOrderLost {
-            self.worker.start_trouble.set(StartTrouble::None);
+        if trouble == StartFault::FirstOrderLost {
+            self.worker.start_fault.set(StartFault::None);
         }
         if !lost {
             let started = self.worker.carry_out_start(order);
@@ -352,7 +354,7 @@
                 return Ok(started);
             }
         }
-        if trouble == StartTrouble::None {
+        if trouble == StartFault::None {
             return Ok(Started::Yes);
         }
         tokio::time::sleep(CALL_TIMEOUT).await;
@@ -364,7 +366,7 @@
         if !self.worker.passes_fence(order.fencing_token) {
             return Err(WorkerError::NoAnswer);
         }
-        if self.worker.stops_hang.get() {
+        if self.worker.ignores_stops.get() {
             return Ok(());
         }
         let mut state = self.worker.state.borrow_mut();
@@ -377,7 +379,7 @@
         Ok(())
     }
 
-    async fn clear(&self, order: &StopOrder) -> Result<bool, WorkerError> {
+    async fn stop_in_any_incarnation(&self, order: &StopOrder) -> Result<bool, WorkerError> {
         match self.stop(order).await {
             Err(WorkerError::OtherLife(_)) => return Ok(true),
             stopped => stopped?,
@@ -388,7 +390,7 @@
 
     async fn renew(&self, order: &RenewOrder) -> Result<Listing, WorkerError> {
         self.reach().await?;
-        if let Some(LateCalls::Notes(after)) = self.worker.late_calls.get()
+        if let Some(LateCalls::Acknowledgements(after)) = self.worker.late_calls.get()
             && order.last_seen > 0
         {
             let order = *order;
--- a/crates/rampbay-jobs/tests/suspended.rs
+++ b/crates/rampbay-jobs/tests/suspended.rs
@@ -9,13 +9,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
 use rampbay_jobs::intake::Refusal;
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::{Leader, Record};
-use support::intake::Rig;
+use support::faulty_store::FaultyStore;
+use support::intake::IntakeRig;
 use support::planner::PlannerRig;
-use support::store::{MemoryStore, Trouble};
-use support::way::Way;
+use support::store::{MemoryStore, StoreFault};
 use support::worker::FakeWorker;
 use support::{
     AgentRig, job, on_virtual_time, running_plan, seed_running_job, step, suspend, table_of, task,
@@ -30,11 +30,11 @@
 const SUSPENDED: Duration = Duration::from_secs(20);
 
 /// Starts an agent whose worker runs a task, and whose way to the store can be cut.
-async fn running_rig() -> (AgentRig, Rc<Way>) {
+async fn running_rig() -> (AgentRig, Rc<FaultyStore>) {
     let store = MemoryStore::new();
     seed_running_job(&store, JOB, 1, WORKER);
-    let way = Way::new(&store, 0);
-    let rig = AgentRig::start_over(Rc::clone(&store), way.clone(), FakeWorker::new(WORKER));
+    let way = FaultyStore::new(&store, 0);
+    let rig = AgentRig::start_with_store(Rc::clone(&store), way.clone(), FakeWorker::new(WORKER));
     rig.heartbeat(WORKER, 1);
     sleep(SETTLES).await;
     assert_eq!(rig.worker.running().len(), 1);
@@ -74,14 +74,14 @@
 fn nothing_started_by_a_view_from_before() {
     on_virtual_time(async {
         let (rig, way) = running_rig().await;
-        rig.worker.see_fence(9);
+        rig.worker.observe_fencing_token(9);
         rig.store.put(&Record::Submitted(Box::new(job(OTHER, 1, step(1, 1)))));
         rig.store.put(&Record::Plan(OTHER.to_owned(), Box::new(running_plan(1, WORKER, 1))));
         sleep(SETTLES).await;
         way.cut.set(true);
         sleep(SETTLES).await;
         suspend(SUSPENDED);
-        rig.worker.see_fence(1);
+        rig.worker.observe_fencing_token(1);
         sleep(SETTLES).await;
         let starts = rig.worker.starts();
         assert!(starts.iter().all(|(started, _)| started.job != OTHER), "{starts:?}");
@@ -92,12 +92,12 @@
 #[test]
 fn callers_turned_away_by_a_configuration_from_before() {
     on_virtual_time(async {
-        let rig = Rig::start();
+        let rig = IntakeRig::start();
         sleep(SETTLES).await;
         let waits = Duration::from_millis(300);
         assert!(rig.admit(waits).await.is_ok());
         assert_eq!(rig.intake.known_status(&JOB.to_owned()), Err(Refusal::NoJob));
-        rig.store.trouble.set(Trouble::Refuses);
+        rig.store.fault.set(StoreFault::Refuses);
         suspend(SUSPENDED);
         let status = rig.intake.known_status(&JOB.to_owned());
         assert_eq!(status, Err(Refusal::NotCurrent), "another entry may have taken it meanwhile");
@@ -114,11 +114,11 @@
         rig.submit(job(JOB, 1, step(1, 1)));
         rig.plan();
         let worker = rig.instance_of(&task(JOB, 0));
-        rig.pass_without(Duration::from_secs(8), &worker).await;
+        rig.advance_with_silent(Duration::from_secs(8), &worker).await;
         rig.plan();
         assert!(rig.table.evicted.contains(&worker));
         suspend(SUSPENDED);
-        rig.pass_without(Duration::from_secs(2), &worker).await;
+        rig.advance_with_silent(Duration::from_secs(2), &worker).await;
         rig.plan();
         assert_eq!(rig.status_of(&task(JOB, 0)), TaskStatus::Running);
         assert_eq!(rig.instance_of(&task(JOB, 0)), worker);
--- a/crates/rampbay-jobs/tests/uptake_times.rs
+++ b/crates/rampbay-jobs/tests/uptake_times.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use rampbay_jobs::account::TaskStatus;
+use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::ProgressReport;
 use rstest::rstest;
 use support::planner::PlannerRig;
--- a/crates/rampbay-peer/src/direct.rs
+++ b/crates/rampbay-peer/src/direct.rs
@@ -221,12 +221,16 @@
         self.note_read(self.store.newest(topic).await)
     }
 
-    async fn stand(&self, member: &str, generation: u64) -> Result<Candidacy, ReadError> {
+    async fn stand_for_election(
+        &self,
+        member: &str,
+        generation: u64,
+    ) -> Result<Candidacy, ReadError> {
         if !self.open.get() {
             return Err(ReadError::Unavailable);
         }
         let _guard = self.in_flight();
-        self.note_read(self.store.stand(member, generation).await)
+        self.note_read(self.store.stand_for_election(member, generation).await)
     }
 
     async fn resign(&self, member: &str) {
@@ -237,7 +241,7 @@
         self.note_read(self.store.holder().await)
     }
 
-    async fn regained(&self) {
+    async fn recovered(&self) {
         self.regained.notified().await;
     }
 }
--- a/crates/rampbay-peer/src/gateway.rs
+++ b/crates/rampbay-peer/src/gateway.rs
@@ -117,7 +117,7 @@
 
 #[async_trait(?Send)]
 impl Layer for GatewayStore {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         self.store.as_ref()
     }
 
--- a/crates/rampbay-peer/src/group.rs
+++ b/crates/rampbay-peer/src/group.rs
@@ -123,7 +123,7 @@
 
 #[async_trait(?Send)]
 impl Layer for GroupStore {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         self.store.as_ref()
     }
 
--- a/crates/rampbay-peer/src/metered.rs
+++ b/crates/rampbay-peer/src/metered.rs
@@ -40,7 +40,12 @@
             Counted::Direct => "direct",
             Counted::Any => "any",
         };
-        metrics().stored(&StoreLabels { way, operation, topic: topic.to_owned(), outcome });
+        metrics().count_store_call(&StoreLabels {
+            way,
+            operation,
+            topic: topic.to_owned(),
+            outcome,
+        });
     }
 }
 
@@ -63,7 +68,7 @@
 
 #[async_trait(?Send)]
 impl Layer for MeteredStore {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         self.store.as_ref()
     }
 
@@ -100,8 +105,12 @@
         outcome
     }
 
-    async fn stand(&self, member: &str, generation: u64) -> Result<Candidacy, ReadError> {
-        let outcome = self.store.stand(member, generation).await;
+    async fn stand_for_election(
+        &self,
+        member: &str,
+        generation: u64,
+    ) -> Result<Candidacy, ReadError> {
+        let outcome = self.store.stand_for_election(member, generation).await;
         self.note("stand", "", read_outcome(&outcome));
         outcome
     }
--- a/crates/rampbay-peer/src/peer.rs
+++ b/crates/rampbay-peer/src/peer.rs
@@ -169,7 +169,11 @@
         }
     }
 
-    async fn stand(&self, member: &str, generation: u64) -> Result<Candidacy, ReadError> {
+    async fn stand_for_election(
+        &self,
+        member: &str,
+        generation: u64,
+    ) -> Result<Candidacy, ReadError> {
         let request = StoreRequest::Stand { member: member.to_owned(), generation };
         match self.call(&request, CALL_TIMEOUT).await {
             Ok(StoreReply::Stand(outcome)) => outcome,
--- a/crates/rampbay-peer/src/protocol.rs
+++ b/crates/rampbay-peer/src/protocol.rs
@@ -49,7 +49,7 @@
         /// Topic.
         topic: String,
     },
-    /// See [`Store::stand`](rampbay_jobs::store::Store::stand).
+    /// See [`Store::stand_for_election`](rampbay_jobs::store::Store::stand_for_election).
     Stand {
         /// Candidate.
         member: String,
--- a/crates/rampbay-peer/src/relay.rs
+++ b/crates/rampbay-peer/src/relay.rs
@@ -300,10 +300,18 @@
         self.or_through_peers(direct, async |peer| peer.newest(topic).await).await
     }
 
-    async fn stand(&self, member: &str, generation: u64) -> Result<Candidacy, ReadError> {
-        let direct =
-            self.unless_cut_off(Duration::ZERO, self.direct.stand(member, generation)).await;
-        self.or_through_peers(direct, async |peer| peer.stand(member, generation).await).await
+    async fn stand_for_election(
+        &self,
+        member: &str,
+        generation: u64,
+    ) -> Result<Candidacy, ReadError> {
+        let direct = self
+            .unless_cut_off(Duration::ZERO, self.direct.stand_for_election(member, generation))
+            .await;
+        self.or_through_peers(direct, async |peer| {
+            peer.stand_for_election(member, generation).await
+        })
+        .await
     }
 
     async fn resign(&self, member: &str) {
@@ -315,7 +323,7 @@
         self.or_through_peers(direct, async |peer| peer.holder().await).await
     }
 
-    async fn regained(&self) {
-        self.direct.regained().await;
+    async fn recovered(&self) {
+        self.direct.recovered().await;
     }
 }
--- a/crates/rampbay-peer/src/reports.rs
+++ b/crates/rampbay-peer/src/reports.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use rampbay_jobs::record::KeyedRecord;
-use rampbay_jobs::store::{Store, appends};
+use rampbay_jobs::store::{Store, split_into_appends};
 use tokio::sync::Notify;
 
 /// How long an entry gathers reports. Three entries stand between an agent and the store at most, and a planner doubts a
@@ -38,7 +38,7 @@
             self.came.notified().await;
             tokio::time::sleep(GATHERING).await;
             let reports: Vec<KeyedRecord> = self.waiting.take().into_values().collect();
-            for group in appends(&reports) {
+            for group in split_into_appends(&reports) {
                 if let Err(error) = store.report(group).await {
                     log::info!("event=J181 reports lost reports={} error={error}", group.len());
                 }
--- a/crates/rampbay-peer/src/routes.rs
+++ b/crates/rampbay-peer/src/routes.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use async_trait::async_trait;
-use rampbay_jobs::candidacy::{Successors, Vigil};
+use rampbay_jobs::candidacy::{LeaderPollers, PreferredLeaders};
 use rampbay_jobs::process::LiveTable;
 use rampbay_jobs::record::Member;
 use rampbay_jobs::settings::Settings;
@@ -20,7 +20,7 @@
 use crate::relay::{PeerList, Writers};
 use crate::tail::{Sources, TailSources};
 use crate::transport::Transport;
-use crate::tree::{Tree, ample, entries, rank, watch};
+use crate::tree::{Tree, ample, entries, leader_pollers, rank};
 
 /// Peers that a process knows to go through while the store turns it away. Some calls go wrong until one of them is
 /// found that the store serves; where a third of the fleet is turned away, all of these are once in 40 million.
@@ -51,7 +51,7 @@
         let known: RefCell<Option<(u64, T)>> = RefCell::default();
         move || {
             let table = self.live.table.borrow();
-            let state = table.process_state();
+            let state = table.membership_version();
             let mut known = known.borrow_mut();
             if let Some((_, list)) = known.as_ref().filter(|(of, _)| *of == state) {
                 return list.clone();
@@ -120,7 +120,7 @@
     /// Lists the entries above this one in the tree, the nearest first.
     fn above<'a>(&self, table: &'a JobTable) -> Vec<&'a Member> {
         let tree = Tree::of(table);
-        if !self.settings.member(true).is_ample() {
+        if !self.settings.member(true).is_well_provisioned() {
             return self.near_first(ample(table).collect(), table);
         }
         // One that isn't in the state yet may be either; the leader is sure to have what it needs.
@@ -217,31 +217,31 @@
 
     /// Returns whether this process is among the few that ask the store again and again who leads.
     #[must_use]
-    pub fn vigil(self) -> Rc<dyn Vigil> {
+    pub fn leader_pollers(self) -> Rc<dyn LeaderPollers> {
         let place = self.remembered(|routes, table| {
             let settings = &routes.settings;
             if table.members.is_empty() {
                 // Before it knows the others: those that the settings of all name stand first.
                 return settings.seeds.iter().position(|seed| seed.ip() == settings.ip);
             }
-            watch(table).position(|member| member.node == settings.node)
+            leader_pollers(table).position(|member| member.node == settings.node)
         });
         Rc::new(Watch(Box::new(place)))
     }
 
     /// Returns who could lead in place of this process, if it has little room itself.
     #[must_use]
-    pub fn successors(self) -> Option<Rc<dyn Successors>> {
-        let is_ample = self.settings.member(true).is_ample();
-        (!is_ample).then(|| Rc::new(AmplePeers(self)) as Rc<dyn Successors>)
+    pub fn preferred_leaders(self) -> Option<Rc<dyn PreferredLeaders>> {
+        let is_ample = self.settings.member(true).is_well_provisioned();
+        (!is_ample).then(|| Rc::new(AmplePeers(self)) as Rc<dyn PreferredLeaders>)
     }
 }
 
 /// This process's place among those that ask who leads.
 struct Watch(Box<dyn Fn() -> Option<usize>>);
 
-impl Vigil for Watch {
-    fn place(&self) -> Option<usize> {
+impl LeaderPollers for Watch {
+    fn rank(&self) -> Option<usize> {
         (self.0)()
     }
 }
@@ -253,8 +253,8 @@
 struct AmplePeers(Routes);
 
 #[async_trait(?Send)]
-impl Successors for AmplePeers {
-    async fn any_answers(&self) -> bool {
+impl PreferredLeaders for AmplePeers {
+    async fn any_reachable(&self) -> bool {
         let routes = &self.0;
         let ample: Vec<PeerStore> = {
             let table = routes.live.table.borrow();
--- a/crates/rampbay-peer/src/server.rs
+++ b/crates/rampbay-peer/src/server.rs
@@ -26,7 +26,7 @@
 
 /// A call that was read whole.
 #[derive(Clone, Debug)]
-pub struct Received {
+pub struct HttpRequest {
     /// Method.
     pub method: Method,
     /// Path without query.
@@ -45,7 +45,7 @@
 
 /// An answer to a call.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     /// Status.
     pub status: StatusCode,
     /// Media type of the body.
@@ -56,7 +56,7 @@
     pub retry_after_s: Option<u32>,
 }
 
-impl Answer {
+impl HttpResponse {
     /// Makes an answer without body.
     #[must_use]
     pub const fn status(status: StatusCode) -> Self {
@@ -90,11 +90,11 @@
 }
 
 /// What answers calls.
-pub type Handler = Rc<dyn Fn(Received) -> Pin<Box<dyn Future<Output = Answer>>>>;
+pub type Handler = Rc<dyn Fn(HttpRequest) -> Pin<Box<dyn Future<Output = HttpResponse>>>>;
 
 /// How a server ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Closing {
+pub enum ServerState {
     /// It serves.
     #[default]
     Open,
@@ -129,14 +129,14 @@
     address: SocketAddr,
     body_limit: usize,
     handler: Handler,
-    mut closing: watch::Receiver<Closing>,
+    mut closing: watch::Receiver<ServerState>,
 ) -> std::io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     let connections = Rc::new(Cell::new(0));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = closing.wait_for(|state| *state == Closing::Closed) => break,
+            _ = closing.wait_for(|state| *state == ServerState::Closed) => break,
         };
         match accepted {
             Ok((stream, _)) => {
@@ -163,7 +163,7 @@
 
 struct Connection {
     handler: Handler,
-    closing: watch::Receiver<Closing>,
+    closing: watch::Receiver<ServerState>,
     body_limit: usize,
 }
 
@@ -179,7 +179,7 @@
         tokio::pin!(connection);
         tokio::select! {
             _ = connection.as_mut() => return,
-            _ = closing.wait_for(|state| *state == Closing::Closed) => {}
+            _ = closing.wait_for(|state| *state == ServerState::Closed) => {}
         }
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
@@ -191,14 +191,14 @@
     ) -> Result<Response<Full<Bytes>>, std::convert::Infallible> {
         let answer = match receive(request, self.body_limit).await {
             Ok(received) => (self.handler)(received).await,
-            Err(status) => Answer::status(status),
+            Err(status) => HttpResponse::status(status),
         };
-        let closes = *self.closing.borrow() != Closing::Open;
+        let closes = *self.closing.borrow() != ServerState::Open;
         Ok(answer.into_response(closes))
     }
 }
 
-async fn receive(request: Request<Incoming>, body_limit: usize) -> Result<Received, StatusCode> {
+async fn receive(request: Request<Incoming>, body_limit: usize) -> Result<HttpRequest, StatusCode> {
     let (parts, body) = request.into_parts();
     let text = |name: header::HeaderName| {
         parts.headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned)
@@ -213,7 +213,7 @@
     let body = collected.map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)?.to_bytes();
     let path = parts.uri.path().to_owned();
     let query = parts.uri.query().unwrap_or_default().to_owned();
-    Ok(Received {
+    Ok(HttpRequest {
         method: parts.method,
         path,
         query,
--- a/crates/rampbay-peer/src/served.rs
+++ b/crates/rampbay-peer/src/service.rs
@@ -10,12 +10,12 @@
 
 use crate::protocol::{StoreReply, StoreRequest};
 use crate::reports::Reports;
-use crate::server::{Answer, Handler};
+use crate::server::{Handler, HttpResponse};
 use crate::snapshots::Snapshots;
 
 /// What a process serves its peers with.
 #[derive(Clone)]
-pub struct Served {
+pub struct PeerService {
     /// Its direct way to the store alone, so that a call takes one hop at most.
     pub direct: Rc<dyn Store>,
     /// All ways that it has itself but for gateways, for the appends that it gathers: two processes that take each other
@@ -34,23 +34,25 @@
 
 /// Makes the handler that serves peers.
 #[must_use]
-pub fn handler(served: Served) -> Handler {
+pub fn handler(served: PeerService) -> Handler {
     Rc::new(move |received| {
         let served = served.clone();
         Box::pin(async move {
             let request: Result<StoreRequest, _> = postcard::from_bytes(&received.body);
-            let Ok(request) = request else { return Answer::status(StatusCode::BAD_REQUEST) };
-            let reply = perform(&served, request).await;
+            let Ok(request) = request else { return HttpResponse::status(StatusCode::BAD_REQUEST) };
+            let reply = handle_request(&served, request).await;
             match postcard::to_allocvec(&reply) {
-                Ok(body) => Answer::with_body(StatusCode::OK, "application/octet-stream", body),
-                Err(_) => Answer::status(StatusCode::INTERNAL_SERVER_ERROR),
+                Ok(body) => {
+                    HttpResponse::with_body(StatusCode::OK, "application/octet-stream", body)
+                }
+                Err(_) => HttpResponse::status(StatusCode::INTERNAL_SERVER_ERROR),
             }
         })
     })
 }
 
 /// Does what a peer asks for.
-pub async fn perform(served: &Served, request: StoreRequest) -> StoreReply {
+pub async fn handle_request(served: &PeerService, request: StoreRequest) -> StoreReply {
     let store = served.direct.as_ref();
     match request {
         StoreRequest::Tail { topic, from, wait_ms, agent } => {
@@ -71,7 +73,7 @@
         }
         StoreRequest::Newest { topic } => StoreReply::Newest(store.newest(&topic).await),
         StoreRequest::Stand { member, generation } => {
-            StoreReply::Stand(store.stand(&member, generation).await)
+            StoreReply::Stand(store.stand_for_election(&member, generation).await)
         }
         StoreRequest::Holder => StoreReply::Holder(store.holder().await),
         StoreRequest::Ping => StoreReply::Pong,
--- a/crates/rampbay-peer/src/ways.rs
+++ b/crates/rampbay-peer/src/stack.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::echo::EchoStore;
 use rampbay_jobs::freshness::Freshness;
 use rampbay_jobs::metrics::metrics;
 use rampbay_jobs::process::LiveTable;
+use rampbay_jobs::read_your_writes::ReadYourWritesStore;
 use rampbay_jobs::record::{Member, STATE_TOPIC};
 use rampbay_jobs::settings::Settings;
 use rampbay_jobs::store::Store;
@@ -17,7 +17,7 @@
 use crate::metered::{Counted, MeteredStore};
 use crate::relay::{PeerList, RelayStore};
 use crate::routes::Routes;
-use crate::served::{Followed, Served};
+use crate::service::{Followed, PeerService};
 use crate::snapshots::Snapshots;
 use crate::tail::{Starting, TailStore};
 use crate::transport::Transport;
@@ -25,7 +25,7 @@
 
 /// What a process follows, and for whom.
 #[derive(Clone)]
-pub enum Follows {
+pub enum Subscription {
     /// All of the state, and the operators' orders: an entry, which passes them on.
     Everything {
         /// Topic of the operators' orders.
@@ -37,7 +37,7 @@
     OwnWorker,
 }
 
-impl Follows {
+impl Subscription {
     const fn is_entry(&self) -> bool {
         matches!(self, Self::Everything { .. })
     }
@@ -50,7 +50,7 @@
 }
 
 /// What the ways of a process are made of.
-pub struct WaysParts {
+pub struct StoreStackParts {
     /// Its settings.
     pub settings: Rc<Settings>,
     /// Carries its calls to peers.
@@ -60,15 +60,15 @@
     /// The store itself.
     pub store: Rc<dyn Store>,
     /// What it follows.
-    pub follows: Follows,
+    pub subscription: Subscription,
 }
 
 /// The ways of a process to the store.
-pub struct Ways {
+pub struct StoreStack {
     /// The store, over whichever way is open.
     pub store: Rc<dyn Store>,
     /// What the process serves its peers with.
-    pub served: Served,
+    pub peer_service: PeerService,
     /// How it finds its peers.
     pub routes: Routes,
     direct: Rc<DirectStore>,
@@ -76,21 +76,21 @@
     member: Member,
 }
 
-impl Ways {
+impl StoreStack {
     /// Opens all ways to the store.
     #[must_use]
-    pub fn open(parts: WaysParts) -> Self {
-        let WaysParts { settings, transport, live, store, follows } = parts;
+    pub fn open(parts: StoreStackParts) -> Self {
+        let StoreStackParts { settings, transport, live, store, subscription } = parts;
         let counted = MeteredStore::new(store, Counted::Direct);
-        let direct = DirectStore::new(Rc::new(counted), follows.probe_interval());
+        let direct = DirectStore::new(Rc::new(counted), subscription.probe_interval());
         let routes = Routes { settings: Rc::clone(&settings), transport, live: live.clone() };
         let grouped = |store: Rc<dyn Store>| -> Rc<dyn Store> {
-            Rc::new(GroupStore::new(Rc::new(EchoStore::new(store, live.clone()))))
+            Rc::new(GroupStore::new(Rc::new(ReadYourWritesStore::new(store, live.clone()))))
         };
         // An agent takes in only its own appends. What it passes on for a peer may hold accounts of jobs that it doesn't
         // know, which come to it together with their jobs.
         let for_peers = |store: Rc<dyn Store>| -> Rc<dyn Store> {
-            if follows.is_entry() { grouped(store) } else { Rc::new(GroupStore::new(store)) }
+            if subscription.is_entry() { grouped(store) } else { Rc::new(GroupStore::new(store)) }
         };
         // Peers are served out of the direct way alone, so that a call takes one hop at most.
         let no_peers: PeerList = Box::new(|| Rc::from([]));
@@ -98,32 +98,32 @@
         let relay = RelayStore::new(Rc::clone(&direct), routes.clone().relays());
         let relay = relay.among(routes.clone().writers());
         let relay = for_peers(Rc::new(MeteredStore::new(Rc::new(relay), Counted::Any)));
-        let gateways = match &follows {
-            Follows::Everything { .. } => routes.clone().gateways_of_entry(),
-            Follows::OwnWorker => routes.clone().gateways_of_agent(),
+        let gateways = match &subscription {
+            Subscription::Everything { .. } => routes.clone().gateways_of_entry(),
+            Subscription::OwnWorker => routes.clone().gateways_of_agent(),
         };
         let own = grouped(Rc::new(GatewayStore::new(Rc::clone(&relay), gateways)));
         let direct_alone: Rc<dyn Store> = Rc::clone(&direct) as Rc<dyn Store>;
-        let served = Served {
+        let peer_service = PeerService {
             direct: for_peers(Rc::new(alone)),
             gathers: relay,
-            followed: followed(&settings, &live, &follows),
-            reports: follows.is_entry().then(Rc::default),
-            snapshots: follows.is_entry().then(|| Snapshots::new(live.clone(), direct_alone)),
+            followed: followed(&settings, &live, &subscription),
+            reports: subscription.is_entry().then(Rc::default),
+            snapshots: subscription.is_entry().then(|| Snapshots::new(live.clone(), direct_alone)),
         };
         let announced = Rc::clone(&own);
-        let store = read_through_peers(own, &settings, &routes, &follows);
-        let member = settings.member(follows.is_entry());
-        Self { store, served, routes, direct, announced, member }
+        let store = read_through_peers(own, &settings, &routes, &subscription);
+        let member = settings.member(subscription.is_entry());
+        Self { store, peer_service, routes, direct, announced, member }
     }
 
     /// Probes the direct way while it is broken, keeps the process's address in the state, passes on the
     /// reports that it gathers, and tells its metrics where it stands, for ever.
     pub async fn maintain(self) {
-        let observe = observe_for_ever(self.routes.clone(), self.served.followed.clone());
+        let observe = observe_for_ever(self.routes.clone(), self.peer_service.followed.clone());
         let announce = self.routes.live.announce(self.announced, self.member);
         let pass_on = async {
-            if let Some(reports) = &self.served.reports {
+            if let Some(reports) = &self.peer_service.reports {
                 reports.pass_on(self.store.as_ref()).await;
             }
         };
@@ -157,18 +157,18 @@
     store: Rc<dyn Store>,
     settings: &Settings,
     routes: &Routes,
-    follows: &Follows,
+    subscription: &Subscription,
 ) -> Rc<dyn Store> {
-    match follows {
-        Follows::Everything { orders_topic, .. } => {
+    match subscription {
+        Subscription::Everything { orders_topic, .. } => {
             let sources = || routes.clone().sources_of_entry();
             let state = TailStore::new(store, STATE_TOPIC, sources());
-            let state = state.starting(starting(settings, routes, follows));
+            let state = state.starting(starting(settings, routes, subscription));
             Rc::new(TailStore::new(Rc::new(state), orders_topic, sources()))
         }
-        Follows::OwnWorker => {
+        Subscription::OwnWorker => {
             let tail = TailStore::new(store, STATE_TOPIC, routes.clone().sources_of_agent());
-            let tail = tail.starting(starting(settings, routes, follows));
+            let tail = tail.starting(starting(settings, routes, subscription));
             Rc::new(tail.for_agent(settings.node.clone()))
         }
     }
@@ -182,12 +182,12 @@
 const AGENT_START: (Duration, Duration) = (Duration::from_millis(1000), Duration::from_millis(500));
 
 /// Returns how a process reads the whole state when it starts.
-fn starting(settings: &Settings, routes: &Routes, follows: &Follows) -> Starting {
-    let is_ample = follows.is_entry() && settings.member(true).is_ample();
-    let (least, spread) = match follows {
-        Follows::OwnWorker => AGENT_START,
-        Follows::Everything { .. } if is_ample => AMPLE_START,
-        Follows::Everything { .. } => SMALL_START,
+fn starting(settings: &Settings, routes: &Routes, subscription: &Subscription) -> Starting {
+    let is_ample = subscription.is_entry() && settings.member(true).is_well_provisioned();
+    let (least, spread) = match subscription {
+        Subscription::OwnWorker => AGENT_START,
+        Subscription::Everything { .. } if is_ample => AMPLE_START,
+        Subscription::Everything { .. } => SMALL_START,
     };
     let share = rank(&settings.node, "") % 1000;
     let is_known = settings.seeds.iter().any(|seed| seed.ip() == settings.ip);
@@ -198,11 +198,13 @@
 
 /// Returns the views that a process passes on: those that are whole. What an agent reads has gaps, and whoever
 /// took it for the state would miss records.
-fn followed(settings: &Settings, live: &LiveTable, follows: &Follows) -> Followed {
-    let Follows::Everything { orders_topic, orders } = follows else { return Followed::new() };
+fn followed(settings: &Settings, live: &LiveTable, subscription: &Subscription) -> Followed {
+    let Subscription::Everything { orders_topic, orders } = subscription else {
+        return Followed::new();
+    };
     let state = (STATE_TOPIC.to_owned(), Rc::clone(&live.freshness));
     let followed = Followed::from([state, (orders_topic.clone(), Rc::clone(orders))]);
-    if settings.member(true).is_ample() {
+    if settings.member(true).is_well_provisioned() {
         followed.values().for_each(|freshness| freshness.keep_recent());
     }
     followed
--- a/crates/rampbay-peer/src/tail.rs
+++ b/crates/rampbay-peer/src/tail.rs
@@ -294,7 +294,7 @@
 
 #[async_trait(?Send)]
 impl Layer for TailStore {
-    fn below(&self) -> &dyn Store {
+    fn inner(&self) -> &dyn Store {
         self.store.as_ref()
     }
 
--- a/crates/rampbay-peer/src/tree.rs
+++ b/crates/rampbay-peer/src/tree.rs
@@ -1,7 +1,7 @@
 //! How records travel: the entries as a tree, with the leader at its root.
 //!
 //! Whoever serves many others needs room: a wide link and a good share of a core. Such entries are called ample
-//! ([`Member::is_ample`]). [`FAN_OUT`] of them, the inner ones, read through the leader; the other ample ones, the
+//! ([`Member::is_well_provisioned`]). [`FAN_OUT`] of them, the inner ones, read through the leader; the other ample ones, the
 //! outer ones, read through the inner ones; small entries and agents read through all ample ones but the leader. So
 //! a record comes to each process in three hops at most, and the leader serves no more of them however large the
 //! fleet is. What grows with the fleet is shared by the ample entries, which grow with it.
@@ -11,7 +11,7 @@
 
 use std::collections::BTreeMap;
 
-use rampbay_jobs::candidacy::VIGIL_SIZE;
+use rampbay_jobs::candidacy::LEADER_POLLER_COUNT;
 use rampbay_jobs::record::Member;
 use rampbay_jobs::table::JobTable;
 
@@ -66,14 +66,14 @@
 
 /// Iterates over the entries that watch over who leads, beside the leader and the one before it, in as many failure
 /// domains as there are: ample ones, or all where none is.
-pub fn watch(table: &JobTable) -> impl Iterator<Item = &Member> {
+pub fn leader_pollers(table: &JobTable) -> impl Iterator<Item = &Member> {
     let is_other =
         |member: &&Member| member.node != table.leader.node && member.node != table.former_leader;
     let mut watch: Vec<&Member> = ample(table).filter(is_other).collect();
     if watch.is_empty() {
         watch = entries(table).filter(is_other).collect();
     }
-    by_domain_in_turn(watch).into_iter().take(VIGIL_SIZE)
+    by_domain_in_turn(watch).into_iter().take(LEADER_POLLER_COUNT)
 }
 
 /// Iterates over the entries. Only their views are whole, and only they stand for leadership: an agent
@@ -84,7 +84,7 @@
 
 /// Iterates over the ample entries.
 pub fn ample(table: &JobTable) -> impl Iterator<Item = &Member> {
-    entries(table).filter(|member| member.is_ample())
+    entries(table).filter(|member| member.is_well_provisioned())
 }
 
 /// Orders processes so that the first few of them stand in as many failure domains as there are.
--- a/crates/rampbay-peer/tests/ages.rs
+++ b/crates/rampbay-peer/tests/ages.rs
@@ -10,7 +10,7 @@
 use rampbay_peer::client::HttpClient;
 use rampbay_peer::peer::PeerStore;
 use rampbay_peer::protocol::{StoreReply, StoreRequest};
-use rampbay_peer::server::{Answer, Closing, Handler, serve};
+use rampbay_peer::server::{Handler, HttpResponse, ServerState, serve};
 use rampbay_peer::tail::{Sources, TailStore};
 use rampbay_peer::transport::Transport;
 use rstest::rstest;
@@ -43,7 +43,7 @@
             let (StoreRequest::Tail { from, wait_ms, .. }
             | StoreRequest::Read { from, wait_ms, .. }) = request
             else {
-                return Answer::status(StatusCode::BAD_REQUEST);
+                return HttpResponse::status(StatusCode::BAD_REQUEST);
             };
             if script.waits {
                 tokio::time::sleep(Duration::from_millis(wait_ms)).await;
@@ -53,7 +53,7 @@
             let records = vec![record; script.records as usize];
             let batch = Batch { end: next, next, records, age: script.age, ..Batch::default() };
             let body = postcard::to_allocvec(&StoreReply::Read(Ok(batch))).expect("a reply");
-            Answer::with_body(StatusCode::OK, "application/octet-stream", body)
+            HttpResponse::with_body(StatusCode::OK, "application/octet-stream", body)
         })
     })
 }
@@ -63,7 +63,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address: SocketAddr = listener.local_addr().expect("an address");
     drop(listener);
-    let (closing, state) = watch::channel(Closing::Open);
+    let (closing, state) = watch::channel(ServerState::Open);
     tokio::task::spawn_local(async move {
         let _closing = closing;
         serve(address, 1 << 20, handler(script), state).await.expect("a server");
--- a/crates/rampbay-peer/tests/gathering.rs
+++ b/crates/rampbay-peer/tests/gathering.rs
@@ -14,8 +14,8 @@
 };
 use rampbay_peer::group::GroupStore;
 use rampbay_peer::protocol::StoreRequest;
-use rampbay_peer::served::{Followed, Served, handler};
-use rampbay_peer::server::{Closing, serve};
+use rampbay_peer::server::{ServerState, serve};
+use rampbay_peer::service::{Followed, PeerService, handler};
 use rstest::rstest;
 use tokio::sync::{Notify, watch};
 
@@ -53,7 +53,7 @@
         Err(ReadError::Unavailable)
     }
 
-    async fn stand(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
+    async fn stand_for_election(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
         Err(ReadError::Unavailable)
     }
 
@@ -90,14 +90,14 @@
         let store = Rc::new(NotingStore::default());
         let shared: Rc<dyn Store> = store.clone();
         let gathers: Rc<dyn Store> = Rc::new(GroupStore::new(Rc::clone(&shared)));
-        let served = Served {
+        let served = PeerService {
             direct: shared,
             gathers,
             followed: Followed::new(),
             reports: None,
             snapshots: None,
         };
-        let never = watch::channel(Closing::Open);
+        let never = watch::channel(ServerState::Open);
         tokio::select! {
             served = serve(address, 1 << 20, handler(served), never.1) => {
                 panic!("the gateway serves: {served:?}")
--- a/crates/rampbay-peer/tests/group.rs
+++ b/crates/rampbay-peer/tests/group.rs
@@ -68,7 +68,7 @@
         Err(ReadError::Unavailable)
     }
 
-    async fn stand(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
+    async fn stand_for_election(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
         Err(ReadError::Unavailable)
     }
 
--- a/crates/rampbay-peer/tests/relay.rs
+++ b/crates/rampbay-peer/tests/relay.rs
@@ -74,7 +74,7 @@
         Err(ReadError::Unavailable)
     }
 
-    async fn stand(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
+    async fn stand_for_election(&self, _: &str, _: u64) -> Result<Candidacy, ReadError> {
         Err(ReadError::Unavailable)
     }
 
@@ -321,7 +321,7 @@
         let direct = DirectStore::new(Rc::clone(&store) as Rc<dyn Store>, PROBE_INTERVAL);
         tokio::task::spawn_local(Rc::clone(&direct).probe_for_ever());
         let watching = Rc::clone(&direct);
-        let regained = tokio::task::spawn_local(async move { watching.regained().await });
+        let regained = tokio::task::spawn_local(async move { watching.recovered().await });
         tokio::time::sleep(Duration::from_secs(10)).await;
         assert_eq!(direct.append(STATE_TOPIC, &[], None).await, Ok(1));
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/rampbay-peer/tests/routes.rs
+++ b/crates/rampbay-peer/tests/routes.rs
@@ -12,8 +12,8 @@
 use rampbay_peer::gateway::GatewayPeer;
 use rampbay_peer::peer::PeerStore;
 use rampbay_peer::routes::Routes;
-use rampbay_peer::served::{Followed, Served, handler};
-use rampbay_peer::server::{Closing, serve};
+use rampbay_peer::server::{ServerState, serve};
+use rampbay_peer::service::{Followed, PeerService, handler};
 use rampbay_peer::tail::TailSources;
 use rampbay_peer::transport::Transport;
 use rstest::rstest;
@@ -126,7 +126,7 @@
 #[case::small("b-small-1", true)]
 #[case::ample("b-large-1", false)]
 fn successors_of_small_only(#[case] node: &str, #[case] expected: bool) {
-    assert_eq!(routes(node, &SITE).successors().is_some(), expected);
+    assert_eq!(routes(node, &SITE).preferred_leaders().is_some(), expected);
 }
 
 /// A machine with room may hold an agent, whose view has gaps: an entry could lead by it.
@@ -147,14 +147,15 @@
     let answering = Member { address: address.to_string(), ..member(node) };
     routes.live.table.borrow_mut().apply(&Record::Member(answering).encode());
     let transport = Rc::clone(&routes.transport);
-    let successors = routes.successors().expect("a process with little room has some");
+    let preferred_leaders =
+        routes.preferred_leaders().expect("a process with little room has some");
     let answers = async {
         while !PeerStore::new(Rc::clone(&transport), address.to_string()).responds().await {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        successors.any_answers().await
+        preferred_leaders.any_reachable().await
     };
-    let never = watch::channel(Closing::Open);
+    let never = watch::channel(ServerState::Open);
     let local = tokio::task::LocalSet::new();
     let answered = local.run_until(async {
         tokio::select! {
@@ -173,10 +174,10 @@
 }
 
 /// What a peer without a store serves: it answers pings.
-fn served(transport: &Rc<dyn Transport>) -> Served {
+fn served(transport: &Rc<dyn Transport>) -> PeerService {
     let nowhere = PeerStore::new(Rc::clone(transport), "127.0.0.1:1".to_owned());
     let direct = DirectStore::new(Rc::new(nowhere), Duration::from_secs(1));
-    Served {
+    PeerService {
         direct: direct.clone(),
         gathers: direct,
         followed: Followed::new(),
--- a/crates/rampbay-peer/tests/server.rs
+++ b/crates/rampbay-peer/tests/server.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use rampbay_peer::server::{Answer, Closing, Handler, serve};
+use rampbay_peer::server::{Handler, HttpResponse, ServerState, serve};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -22,15 +22,16 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let address = free_address().await;
-        let (closing, state) = watch::channel(Closing::Open);
-        let handler: Handler = Rc::new(|_| Box::pin(async { Answer::status(StatusCode::OK) }));
+        let (closing, state) = watch::channel(ServerState::Open);
+        let handler: Handler =
+            Rc::new(|_| Box::pin(async { HttpResponse::status(StatusCode::OK) }));
         let serving = tokio::task::spawn_local(serve(address, 1 << 20, handler, state));
         tokio::time::sleep(Duration::from_millis(50)).await;
         let mut stream = TcpStream::connect(address).await.expect("a connection");
         let head = b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 100\r\n\r\nhalf";
         stream.write_all(head).await.expect("sent");
         tokio::time::sleep(Duration::from_millis(50)).await;
-        closing.send(Closing::Closed).expect("a server");
+        closing.send(ServerState::Closed).expect("a server");
         tokio::time::pause();
         let mut answer = String::new();
         let read = stream.read_to_string(&mut answer);
--- a/crates/rampbay-scale/src/connection.rs
+++ b/crates/rampbay-scale/src/connection.rs
@@ -213,7 +213,7 @@
         timeout(CALL_TIMEOUT, newest).await.unwrap_or(Err(ReadError::Unavailable))
     }
 
-    async fn stand(&self, member: &str, _: u64) -> Result<Candidacy, ReadError> {
+    async fn stand_for_election(&self, member: &str, _: u64) -> Result<Candidacy, ReadError> {
         self.note(Purpose::Stand, OVERHEAD);
         let join = async {
             let is_served = self.reach().await;
--- a/crates/rampbay-scale/src/fleet.rs
+++ b/crates/rampbay-scale/src/fleet.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rampbay_jobs::account::JobStatus;
 use rampbay_jobs::job::{NodeName, Resources, Step, Submission};
+use rampbay_jobs::plan::JobStatus;
 use rampbay_jobs::record::{Record, STATE_TOPIC};
 use rampbay_peer::tree::Tree;
 use tokio::time::{Instant, sleep, timeout};
--- a/crates/rampbay-scale/src/network.rs
+++ b/crates/rampbay-scale/src/network.rs
@@ -8,7 +8,7 @@
 use async_trait::async_trait;
 use rampbay_peer::client::CallError;
 use rampbay_peer::protocol::{StoreReply, StoreRequest};
-use rampbay_peer::served::{Served, perform};
+use rampbay_peer::service::{PeerService, handle_request};
 use rampbay_peer::transport::Transport;
 use tokio::sync::Notify;
 
@@ -31,7 +31,7 @@
 
 struct Host {
     node: String,
-    served: Served,
+    served: PeerService,
     reachable: Reachable,
     /// Told when the host is no longer reachable.
     gone: Rc<Notify>,
@@ -52,7 +52,7 @@
     }
 
     /// Puts a process at an address, in place of whichever was there.
-    pub fn attach(&self, address: String, node: String, served: Served) {
+    pub fn attach(&self, address: String, node: String, served: PeerService) {
         let host = Host { node, served, reachable: Reachable::Yes, gone: Rc::default() };
         self.hosts.borrow_mut().insert(address, host);
     }
@@ -77,7 +77,7 @@
         let Some((served, gone)) = host else { return std::future::pending().await };
         let asked = size_of(&request);
         let reply = tokio::select! {
-            reply = perform(&served, request) => reply,
+            reply = handle_request(&served, request) => reply,
             () = gone.notified() => return self.lose(address).await,
         };
         tokio::time::sleep(ONE_WAY).await;
--- a/crates/rampbay-scale/src/process.rs
+++ b/crates/rampbay-scale/src/process.rs
@@ -17,7 +17,7 @@
 use rampbay_jobs::worker::Worker;
 use rampbay_peer::agent::Agent;
 use rampbay_peer::entry::Entry;
-use rampbay_peer::ways::{Follows, Ways, WaysParts};
+use rampbay_peer::stack::{StoreStack, StoreStackParts, Subscription};
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
@@ -97,17 +97,17 @@
         };
         let connection = Connection::new(store, role);
         let routing = Rc::new(CurrentRouting::default());
-        let ways = Ways::open(WaysParts {
+        let ways = StoreStack::open(StoreStackParts {
             settings: Rc::clone(&settings),
             transport: network.clone(),
             live: live.clone(),
             store: connection.clone(),
-            follows: follows(role, &routing),
+            subscription: follows(role, &routing),
         });
         let store = Rc::clone(&ways.store);
         let name = settings.node.clone();
         let address = format!("{}:{}", settings.ip, settings.peer_port);
-        network.attach(address.clone(), name.clone(), ways.served.clone());
+        network.attach(address.clone(), name.clone(), ways.peer_service.clone());
         let arrivals = Rc::default();
         let task = if let Some(worker) = worker {
             let worker = Rc::clone(worker);
@@ -127,16 +127,16 @@
     }
 }
 
-fn follows(role: Role, routing: &CurrentRouting) -> Follows {
+fn follows(role: Role, routing: &CurrentRouting) -> Subscription {
     if role == Role::Agent {
-        Follows::OwnWorker
+        Subscription::OwnWorker
     } else {
         let orders = Rc::clone(&routing.freshness);
-        Follows::Everything { orders_topic: OPERATOR_TOPIC.to_owned(), orders }
+        Subscription::Everything { orders_topic: OPERATOR_TOPIC.to_owned(), orders }
     }
 }
 
-async fn run_entry(place: usize, entry: Entry, ways: Ways, orders: Orders) {
+async fn run_entry(place: usize, entry: Entry, ways: StoreStack, orders: Orders) {
     let leads = entry.clone().lead(wall_clock, place as u64);
     tokio::join!(ways.maintain(), entry.follow(OPERATOR_TOPIC, orders), leads);
 }
@@ -145,7 +145,7 @@
     place: usize,
     settings: Rc<Settings>,
     live: LiveTable,
-    ways: Ways,
+    ways: StoreStack,
     worker: Rc<ModelWorker>,
 ) {
     let client = Rc::clone(&worker);
@@ -155,8 +155,8 @@
         table: Rc::clone(&live.table),
         freshness: Rc::clone(&live.freshness),
         connect: Box::new(move |_, _| -> Rc<dyn Worker> { client.clone() }),
-        succession: |_, _| None,
-        began: |_| None,
+        compare_incarnations: |_, _| None,
+        incarnation_start: |_| None,
         wall_clock,
         settings: settings.agent(),
     });
--- a/crates/rampbay-scale/src/time.rs
+++ b/crates/rampbay-scale/src/time.rs
@@ -25,7 +25,7 @@
         .start_paused(true)
         .build()
         .expect("a runtime");
-    rampbay_jobs::clock::use_source(since_boot);
+    rampbay_jobs::clock::set_clock_source(since_boot);
     LocalSet::new().block_on(&runtime, future)
 }
 
--- a/crates/rampbay-scale/tests/leaders.rs
+++ b/crates/rampbay-scale/tests/leaders.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use rampbay_jobs::job::NodeName;
-use rampbay_peer::tree::watch;
+use rampbay_peer::tree::leader_pollers;
 use rampbay_scale::connection::Way;
 use rampbay_scale::fleet::Fleet;
 use rampbay_scale::machine::Size;
@@ -124,7 +124,7 @@
         let mut lost: Vec<NodeName> = vec![leader.clone()];
         if let Some(leader) = fleet.leader() {
             let table = leader.live.table.borrow();
-            lost.extend(watch(&table).map(|member| member.node.clone()));
+            lost.extend(leader_pollers(&table).map(|member| member.node.clone()));
         }
         let changes = changes(&mut fleet, |process| lost.contains(&process.name), false).await;
         assert!(changes <= CHANGES_BY_CHANCE, "{changes} changes");
