--- a/crates/rampbay-scale/src/connection.rs
+++ b/crates/rampbay-scale/src/connection.rs
@@ -1,4 +1,4 @@
-//! A process's way to the store, whose calls take time and are counted.
+//! A process's connection to the store. Its calls take time and are counted.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,74 +14,74 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
 use crate::load::{Purpose, Role};
-use crate::store::{ANSWER, ModelStore};
+use crate::store::{ANSWER_TIME, ModelStore};
 
-/// Time after which a call without answer is given up, beside what a read waits; as the adapters of real stores do.
+/// Time limit of a call, plus the wait time of a read; the same as in the adapters of real stores.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2000);
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
-/// Most records of one page of a snapshot.
-const PAGE: usize = 500;
-/// Most bytes of records in an answer that is asked for as few as can be.
-const LEAST_READ: usize = 1024;
-/// Bytes of a call beside its records.
-const OVERHEAD: usize = 200;
+/// Maximum number of records on one page of a snapshot.
+const PAGE_RECORDS: usize = 500;
+/// Maximum bytes of records in the answer to a call that asks for as few as possible.
+const MIN_READ_BYTES: usize = 1024;
+/// Bytes of a call in addition to its records.
+const CALL_OVERHEAD: usize = 200;
 
 /// How the store answers one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
-    /// It answers.
+pub enum StoreAccess {
+    /// The store answers.
     #[default]
     Open,
-    /// It turns each call away.
+    /// The store refuses each call.
     Refused,
-    /// It doesn't answer, and does nothing.
+    /// The store neither answers nor does anything.
     Silent,
 }
 
-/// Returns the bytes that records take on the wire.
+/// Returns the bytes of a call with these records on the wire.
 fn size_of(records: &[KeyedRecord]) -> usize {
     let bytes = records.iter().map(|record| 5 + record.key.len() + record.value.len());
-    OVERHEAD + bytes.sum::<usize>()
+    CALL_OVERHEAD + bytes.sum::<usize>()
 }
 
-/// One process's way to the store.
+/// The connection of one process to the store.
 pub struct Connection {
     store: Rc<ModelStore>,
     role: Role,
     /// How the store answers this process.
-    pub way: Cell<Way>,
+    pub access: Cell<StoreAccess>,
 }
 
 impl Connection {
-    /// Opens a way for a process.
+    /// Creates the connection of a process.
     #[must_use]
     pub fn new(store: &Rc<ModelStore>, role: Role) -> Rc<Self> {
-        Rc::new(Self { store: Rc::clone(store), role, way: Cell::default() })
+        Rc::new(Self { store: Rc::clone(store), role, access: Cell::default() })
     }
 
-    fn note(&self, purpose: Purpose, bytes: usize) {
-        self.store.load.note_store(self.role, purpose, bytes);
+    fn record_call(&self, purpose: Purpose, bytes: usize) {
+        self.store.load.record_store_call(self.role, purpose, bytes);
     }
 
-    /// Waits until the store has taken a call in. Returns whether it serves it.
-    async fn reach(&self) -> bool {
-        self.silence().await;
-        sleep(self.store.time(ANSWER)).await;
-        self.silence().await;
-        self.way.get() == Way::Open
+    /// Waits until the store has received a call. Returns whether the store accepts it.
+    async fn send_call(&self) -> bool {
+        self.wait_if_silent().await;
+        sleep(self.store.scaled(ANSWER_TIME)).await;
+        self.wait_if_silent().await;
+        self.access.get() == StoreAccess::Open
     }
 
-    /// Waits for ever if the store is silent.
-    async fn silence(&self) {
-        if self.way.get() == Way::Silent {
+    /// Waits forever if the store is silent.
+    async fn wait_if_silent(&self) {
+        if self.access.get() == StoreAccess::Silent {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Hands an answer over, unless it gets lost.
+    /// Delivers an answer, unless it is lost.
     async fn answer<T>(&self, answer: T) -> T {
-        self.silence().await;
-        if self.store.loses_next() {
+        self.wait_if_silent().await;
+        if self.store.loses_next_answer() {
             std::future::pending::<()>().await;
         }
         answer
@@ -97,7 +97,7 @@
 }
 
 impl Connection {
-    async fn append_in_time(
+    async fn append_inner(
         &self,
         topic: &str,
         records: &[KeyedRecord],
@@ -105,40 +105,40 @@
     ) -> Result<Offset, AppendError> {
         let purpose =
             if topic == STATE_TOPIC { Purpose::AppendState } else { Purpose::AppendProgress };
-        self.note(purpose, size_of(records));
-        self.silence().await;
-        if self.way.get() == Way::Refused {
-            sleep(ANSWER).await;
+        self.record_call(purpose, size_of(records));
+        self.wait_if_silent().await;
+        if self.access.get() == StoreAccess::Refused {
+            sleep(ANSWER_TIME).await;
             return Err(AppendError::Refused);
         }
-        let Some(done) = self.store.queue(topic) else { return Err(AppendError::Refused) };
-        // A call that has arrived is carried out, whether its caller waits or not.
+        let Some(done) = self.store.enqueue_append(topic) else { return Err(AppendError::Refused) };
+        // The store applies an append that has arrived, whether or not its caller still waits.
         let (tx, rx) = oneshot::channel();
         let (store, topic) = (Rc::clone(&self.store), topic.to_owned());
         let (records, fence) = (records.to_vec(), fence.cloned());
         tokio::task::spawn_local(async move {
             sleep_until(done).await;
             let outcome = match &fence {
-                Some(fence) => store.fenced_push(&topic, &records, fence),
+                Some(fence) => store.push_fenced(&topic, &records, fence),
                 None => Ok(store.push(&topic, &records)),
             };
             // A caller that has given up needs no answer.
             let _ = tx.send(outcome);
         });
         let outcome = rx.await.unwrap_or(Err(AppendError::Unknown));
-        self.silence().await;
+        self.wait_if_silent().await;
         outcome
     }
 
-    async fn read_in_time(
+    async fn read_inner(
         &self,
         topic: &str,
         from: Offset,
         wait: Duration,
     ) -> Result<Batch, ReadError> {
         let sent = Instant::now();
-        if !self.reach().await {
-            self.note(read_purpose(topic), OVERHEAD);
+        if !self.send_call().await {
+            self.record_call(read_purpose(topic), CALL_OVERHEAD);
             return Err(ReadError::Unavailable);
         }
         let deadline = Instant::now() + wait;
@@ -148,31 +148,31 @@
             let batch = match self.store.batch(topic, from) {
                 Ok(batch) => batch,
                 Err(error) => {
-                    self.note(read_purpose(topic), OVERHEAD);
+                    self.record_call(read_purpose(topic), CALL_OVERHEAD);
                     return Err(error);
                 }
             };
             if is_over || !batch.records.is_empty() {
-                self.note(read_purpose(topic), size_of(&batch.records));
-                self.silence().await;
+                self.record_call(read_purpose(topic), size_of(&batch.records));
+                self.wait_if_silent().await;
                 return Ok(batch.after_wait(sent, wait));
             }
             let _ = timeout_at(deadline, appended).await;
         }
     }
 
-    async fn newest_in_time(&self, topic: &str) -> Result<Snapshot, ReadError> {
-        if !self.reach().await {
-            self.note(Purpose::Snapshot, OVERHEAD);
+    async fn newest_inner(&self, topic: &str) -> Result<Snapshot, ReadError> {
+        if !self.send_call().await {
+            self.record_call(Purpose::Snapshot, CALL_OVERHEAD);
             return Err(ReadError::Unavailable);
         }
-        let (records, end) = self.store.newest_of(topic);
-        for page in records.chunks(PAGE) {
-            self.note(Purpose::Snapshot, size_of(page));
-            sleep(self.store.time(ANSWER)).await;
+        let (records, end) = self.store.newest_records(topic);
+        for page in records.chunks(PAGE_RECORDS) {
+            self.record_call(Purpose::Snapshot, size_of(page));
+            sleep(self.store.scaled(ANSWER_TIME)).await;
         }
         if records.is_empty() {
-            self.note(Purpose::Snapshot, OVERHEAD);
+            self.record_call(Purpose::Snapshot, CALL_OVERHEAD);
         }
         Ok(Snapshot { records, read_from: end, end, age: Duration::ZERO })
     }
@@ -186,38 +186,41 @@
         records: &[KeyedRecord],
         fence: Option<&Fence>,
     ) -> Result<Offset, AppendError> {
-        let append = async { self.answer(self.append_in_time(topic, records, fence).await).await };
+        let append = async { self.answer(self.append_inner(topic, records, fence).await).await };
         timeout(CALL_TIMEOUT, append).await.unwrap_or(Err(AppendError::Unknown))
     }
 
     async fn read(&self, topic: &str, from: Offset, wait: Duration) -> Result<Batch, ReadError> {
-        let read = async { self.answer(self.read_in_time(topic, from, wait).await).await };
+        let read = async { self.answer(self.read_inner(topic, from, wait).await).await };
         timeout(wait + READ_TIMEOUT, read).await.unwrap_or(Err(ReadError::Unavailable))
     }
 
     async fn end(&self, topic: &str, known: Offset) -> Result<Offset, ReadError> {
         let ask = async {
-            if !self.reach().await {
-                self.note(read_purpose(topic), OVERHEAD);
+            if !self.send_call().await {
+                self.record_call(read_purpose(topic), CALL_OVERHEAD);
                 return Err(ReadError::Unavailable);
             }
             let batch = self.store.batch(topic, known)?;
-            self.note(read_purpose(topic), size_of(&batch.records).min(OVERHEAD + LEAST_READ));
+            self.record_call(
+                read_purpose(topic),
+                size_of(&batch.records).min(CALL_OVERHEAD + MIN_READ_BYTES),
+            );
             self.answer(Ok(batch.end)).await
         };
         timeout(READ_TIMEOUT, ask).await.unwrap_or(Err(ReadError::Unavailable))
     }
 
     async fn newest(&self, topic: &str) -> Result<Snapshot, ReadError> {
-        let newest = async { self.answer(self.newest_in_time(topic).await).await };
+        let newest = async { self.answer(self.newest_inner(topic).await).await };
         timeout(CALL_TIMEOUT, newest).await.unwrap_or(Err(ReadError::Unavailable))
     }
 
     async fn stand_for_election(&self, member: &str, _: u64) -> Result<Candidacy, ReadError> {
-        self.note(Purpose::Stand, OVERHEAD);
+        self.record_call(Purpose::Stand, CALL_OVERHEAD);
         let join = async {
-            let is_served = self.reach().await;
-            let joined = is_served.then(|| self.store.group.borrow_mut().join(member));
+            let is_accepted = self.send_call().await;
+            let joined = is_accepted.then(|| self.store.group.borrow_mut().join(member));
             self.answer(joined).await
         };
         let joined = timeout(CALL_TIMEOUT, join).await.unwrap_or_default();
@@ -225,17 +228,17 @@
     }
 
     async fn resign(&self, member: &str) {
-        self.note(Purpose::Stand, OVERHEAD);
-        if timeout(CALL_TIMEOUT, self.reach()).await == Ok(true) {
+        self.record_call(Purpose::Stand, CALL_OVERHEAD);
+        if timeout(CALL_TIMEOUT, self.send_call()).await == Ok(true) {
             self.store.group.borrow_mut().leave(member);
         }
     }
 
     async fn holder(&self) -> Result<Option<NodeName>, ReadError> {
-        self.note(Purpose::Holder, OVERHEAD);
+        self.record_call(Purpose::Holder, CALL_OVERHEAD);
         let ask = async {
-            let is_served = self.reach().await;
-            let holder = is_served.then(|| self.store.leader());
+            let is_accepted = self.send_call().await;
+            let holder = is_accepted.then(|| self.store.leader());
             self.answer(holder).await
         };
         let holder = timeout(READ_TIMEOUT, ask).await.unwrap_or_default();
--- a/crates/rampbay-scale/src/fleet.rs
+++ b/crates/rampbay-scale/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet: entries and agents over one store and one network.
+//! A fleet: entries and agents that share one store and one network.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,29 +9,29 @@
 use rampbay_peer::tree::Tree;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::connection::Way;
+use crate::connection::StoreAccess;
 use crate::load::Load;
-use crate::machine::{Machine, Size, address, place_of};
-use crate::network::{Network, Reachable};
+use crate::machine::{Machine, Size, address, index_of};
+use crate::network::{Network, Reachability};
 use crate::process::{Process, SERVICE};
 use crate::store::{ModelStore, OPERATOR_TOPIC};
 use crate::time::wall_clock;
 use crate::worker::ModelWorker;
 
-/// Time within which all processes of a fleet start.
+/// Time over which the starts of all processes are spread.
 const START_SPREAD: Duration = Duration::from_millis(300);
-/// Time that every run takes.
+/// Duration of every run.
 const RUN_TIME: Duration = Duration::from_secs(3);
-/// Time between two looks of whoever waits for something.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which conditions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Key of the operators' configuration.
-const CONFIGURATION: &str = "configuration";
+const CONFIGURATION_KEY: &str = "configuration";
 
-/// A fleet.
+/// All processes, workers, the store and the network of a fleet.
 pub struct Fleet {
-    /// How many processes it has.
+    /// Number of processes of each kind.
     pub size: Size,
-    /// What they ask of the store and of each other.
+    /// Counts of calls to the store and between processes.
     pub load: Rc<Load>,
     /// The store.
     pub store: Rc<ModelStore>,
@@ -39,7 +39,7 @@
     pub network: Rc<Network>,
     /// The processes, entries first.
     pub processes: Vec<Process>,
-    /// The workers, in the order of the agents.
+    /// The workers, in the same order as the agents.
     pub workers: Vec<Rc<ModelWorker>>,
     seeds: Vec<String>,
 }
@@ -55,8 +55,8 @@
         let processes = Vec::new();
         let mut fleet = Self { size, load, store, network, processes, workers, seeds };
         let pause = START_SPREAD / u32::try_from(size.machines()).unwrap_or(u32::MAX);
-        for place in fleet.start_order() {
-            let process = fleet.start_process(place);
+        for index in fleet.start_order() {
+            let process = fleet.start_process(index);
             fleet.processes.push(process);
             sleep(pause).await;
         }
@@ -64,68 +64,68 @@
         fleet
     }
 
-    /// Returns the order in which processes start: kinds and failure domains mixed.
+    /// Returns the order in which processes start, with kinds and failure domains mixed.
     fn start_order(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.size.machines()).collect();
-        order.sort_by_key(|place| place.wrapping_mul(2_654_435_761) % 1_000_003);
+        order.sort_by_key(|index| index.wrapping_mul(2_654_435_761) % 1_000_003);
         order
     }
 
-    fn start_process(&self, place: usize) -> Process {
-        let machine = Machine::of(self.size, place, &self.seeds);
-        let worker = place.checked_sub(self.size.entries()).map(|agent| &self.workers[agent]);
+    fn start_process(&self, index: usize) -> Process {
+        let machine = Machine::of(self.size, index, &self.seeds);
+        let worker = index.checked_sub(self.size.entries()).map(|agent| &self.workers[agent]);
         Process::start(&self.store, &self.network, machine, worker)
     }
 
-    /// Ends processes without notice; nobody listens at their addresses.
-    pub fn kill(&mut self, is_hit: impl Fn(&Process) -> bool) {
-        self.end(is_hit, Reachable::Refused);
+    /// Kills processes; calls to them are refused.
+    pub fn kill(&mut self, selects: impl Fn(&Process) -> bool) {
+        self.end(selects, Reachability::Refused);
     }
 
-    /// Takes the power of processes away; calls to them hang.
-    pub fn power_off(&mut self, is_hit: impl Fn(&Process) -> bool) {
-        self.end(is_hit, Reachable::Silent);
+    /// Cuts the power of processes; calls to them hang.
+    pub fn power_off(&mut self, selects: impl Fn(&Process) -> bool) {
+        self.end(selects, Reachability::Silent);
     }
 
-    fn end(&mut self, is_hit: impl Fn(&Process) -> bool, reachable: Reachable) {
-        for process in self.processes.iter().filter(|process| is_hit(process)) {
+    fn end(&mut self, selects: impl Fn(&Process) -> bool, reachability: Reachability) {
+        for process in self.processes.iter().filter(|process| selects(process)) {
             process.task.abort();
-            process.connection.way.set(Way::Silent);
-            self.network.set_reachable(&process.address, reachable);
+            process.connection.access.set(StoreAccess::Silent);
+            self.network.set_reachability(&process.address, reachability);
         }
     }
 
-    /// Starts the processes again that have ended.
+    /// Restarts the processes that have ended.
     pub async fn restart(&mut self) {
-        let is_over = |process: &Process| process.task.is_finished();
-        // An aborted task is over once it has been looked at.
-        sleep(LOOK).await;
-        for place in 0..self.processes.len() {
-            if is_over(&self.processes[place]) {
-                let started = place_of(&self.processes[place].address);
-                self.processes[place] = self.start_process(started);
+        let has_ended = |process: &Process| process.task.is_finished();
+        // An aborted task counts as finished only after the executor has polled it.
+        sleep(POLL_INTERVAL).await;
+        for index in 0..self.processes.len() {
+            if has_ended(&self.processes[index]) {
+                let started = index_of(&self.processes[index].address);
+                self.processes[index] = self.start_process(started);
             }
         }
     }
 
-    /// Returns the entries that haven't ended.
+    /// Returns the running entries.
     pub fn entries(&self) -> impl Iterator<Item = &Process> {
         self.processes.iter().filter(|process| process.is_entry() && !process.task.is_finished())
     }
 
-    /// Returns the agents that haven't ended.
+    /// Returns the running agents.
     pub fn agents(&self) -> impl Iterator<Item = &Process> {
         self.processes.iter().filter(|process| !process.is_entry() && !process.task.is_finished())
     }
 
-    /// Returns the process that leads.
+    /// Returns the leading process.
     #[must_use]
     pub fn leader(&self) -> Option<&Process> {
         let leader = self.store.leader()?;
         self.processes.iter().find(|process| process.name == leader)
     }
 
-    /// Names the entries that read through the leader, as it sees them.
+    /// Returns the names of the inner entries, which read through the leader, as the leader sees them.
     #[must_use]
     pub fn inner(&self) -> Vec<NodeName> {
         let Some(leader) = self.leader() else { return Vec::new() };
@@ -133,20 +133,24 @@
         Tree::of(&table).inner.iter().map(|member| member.node.clone()).collect()
     }
 
-    /// Waits until something holds. Returns how long that took, or `None` if it took longer than `limit`.
-    pub async fn until(&self, limit: Duration, holds: impl Fn(&Self) -> bool) -> Option<Duration> {
+    /// Waits until a condition holds. Returns how long that took, or `None` if it took longer than `limit`.
+    pub async fn wait_until(
+        &self,
+        limit: Duration,
+        condition: impl Fn(&Self) -> bool,
+    ) -> Option<Duration> {
         let began = Instant::now();
-        let held = async {
-            while !holds(self) {
-                sleep(LOOK).await;
+        let wait = async {
+            while !condition(self) {
+                sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(limit, held).await.ok().map(|()| began.elapsed())
+        timeout(limit, wait).await.ok().map(|()| began.elapsed())
     }
 
-    /// Returns whether one process leads, and has said so in the state.
+    /// Returns whether a running process leads and has announced that in the state.
     #[must_use]
-    pub fn is_led(&self) -> bool {
+    pub fn has_leader(&self) -> bool {
         self.leader().is_some_and(|leader| {
             leader.live.table.borrow().leader.node == leader.name && !leader.task.is_finished()
         })
@@ -156,38 +160,38 @@
     #[must_use]
     pub fn knows_workers(&self) -> bool {
         let count = |leader: &Process| leader.live.table.borrow().workers.len();
-        self.is_led() && self.leader().is_some_and(|leader| count(leader) == self.size.agents)
+        self.has_leader() && self.leader().is_some_and(|leader| count(leader) == self.size.agents)
     }
 
-    /// Publishes a configuration of so many bytes.
+    /// Publishes a configuration of the given size.
     pub fn publish(&self, version: u64, bytes: usize) {
         let mut value = version.to_be_bytes().to_vec();
         value.resize(bytes.max(value.len()), 0);
-        self.store.write(OPERATOR_TOPIC, CONFIGURATION, value);
+        self.store.write(OPERATOR_TOPIC, CONFIGURATION_KEY, value);
     }
 
-    /// Returns whether all entries that are there have a configuration.
+    /// Returns whether all running entries have received a configuration.
     #[must_use]
     pub fn has_configuration(&self, version: u64) -> bool {
         self.entries().all(|entry| entry.arrivals.borrow().contains_key(&version))
     }
 
-    /// Returns the age of the oldest view that an entry has of the operators' orders.
+    /// Returns the age of the oldest view of the operators' orders at an entry.
     #[must_use]
-    pub fn oldest_orders(&self) -> Duration {
+    pub fn oldest_orders_age(&self) -> Duration {
         let ages = self.entries().map(|entry| entry.routing.freshness.age());
         ages.map(|age| age.unwrap_or(Duration::MAX)).max().unwrap_or_default()
     }
 
-    /// Returns the age of the oldest view that a process has of the state.
+    /// Returns the age of the oldest view of the state at a process.
     #[must_use]
-    pub fn oldest_table(&self) -> Duration {
+    pub fn oldest_table_age(&self) -> Duration {
         let running = self.processes.iter().filter(|process| !process.task.is_finished());
         let ages = running.map(|process| process.live.freshness.age());
         ages.map(|age| age.unwrap_or(Duration::MAX)).max().unwrap_or_default()
     }
 
-    /// Hands a job of one step of equal tasks in at the last entry, until the store has it.
+    /// Submits a job of one step of equal tasks at the last entry, and waits until the store has it.
     ///
     /// # Panics
     ///
@@ -197,7 +201,7 @@
         self.submit_at(last, id, tasks, devices).await;
     }
 
-    /// Hands a job of one step of equal tasks in at one of the entries that are there, until the store has it.
+    /// Submits a job of one step of equal tasks at one of the running entries, and waits until the store has it.
     ///
     /// # Panics
     ///
@@ -225,11 +229,11 @@
         };
         let records = [Record::Submitted(Box::new(submission)).encode()];
         while entry.store.append(STATE_TOPIC, &records, None).await.is_err() {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Counts the runs at all workers.
+    /// Returns the number of runs on all workers.
     #[must_use]
     pub fn running(&self) -> usize {
         self.workers.iter().map(|worker| worker.running()).sum()
--- a/crates/rampbay-scale/src/group.rs
+++ b/crates/rampbay-scale/src/group.rs
@@ -1,4 +1,4 @@
-//! The store's group of candidates, whose one partition is leadership.
+//! The store's group of candidates, whose only partition stands for leadership.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,63 +7,63 @@
 use rampbay_jobs::store::Candidacy;
 use tokio::time::Instant;
 
-/// Time without a call of its leader after which leadership lapses.
+/// Time without a call after which a member is removed, and leadership expires if it was the leader.
 const TIME_TO_LIVE: Duration = Duration::from_secs(1);
 
-/// The group of candidates for leadership. Its one partition is dealt anew with each change of the group.
+/// The group of candidates for leadership. Its only partition is reassigned with each change of the group.
 #[derive(Default)]
 pub(crate) struct Group {
     members: BTreeMap<NodeName, Instant>,
-    /// How often the partition has been dealt.
+    /// Number of assignments of the partition.
     pub(crate) generation: u64,
-    /// Who leads.
+    /// The leader.
     pub(crate) holder: Option<NodeName>,
 }
 
 impl Group {
-    /// Drops members that were silent for their time to live.
-    pub(crate) fn lapse(&mut self) {
+    /// Removes members that have been silent for the time to live.
+    pub(crate) fn expire(&mut self) {
         let before = self.members.len();
         self.members.retain(|_, joined| joined.elapsed() < TIME_TO_LIVE);
         if self.members.len() != before {
-            self.change();
+            self.bump_generation();
         }
         let is_there = |holder: &NodeName| self.members.contains_key(holder);
         self.holder = self.holder.take().filter(is_there);
     }
 
-    fn change(&mut self) {
+    fn bump_generation(&mut self) {
         self.generation += 1;
     }
 
-    /// Returns whom the partition is dealt to: one of the members, another one with each change.
-    fn dealt_to(&self) -> Option<&NodeName> {
-        let place = self.generation as usize % self.members.len().max(1);
-        self.members.keys().nth(place)
+    /// Returns the member to which the partition is assigned: another one with each change.
+    fn assigned_member(&self) -> Option<&NodeName> {
+        let index = self.generation as usize % self.members.len().max(1);
+        self.members.keys().nth(index)
     }
 
-    /// Takes a call of a member in.
+    /// Adds or renews a member.
     pub(crate) fn join(&mut self, member: &str) -> Candidacy {
-        self.lapse();
+        self.expire();
         if self.members.insert(member.to_owned(), Instant::now()).is_none() {
-            self.change();
+            self.bump_generation();
         }
-        let is_dealt = self.dealt_to().is_some_and(|dealt| dealt == member);
-        if !is_dealt && self.holder.as_deref() == Some(member) {
-            // It learns with this answer that the partition is no longer its own.
+        let is_assigned = self.assigned_member().is_some_and(|assigned| assigned == member);
+        if !is_assigned && self.holder.as_deref() == Some(member) {
+            // With this answer the member learns that the partition is no longer its own.
             self.holder = None;
         }
-        if is_dealt && self.holder.is_none() {
+        if is_assigned && self.holder.is_none() {
             self.holder = Some(member.to_owned());
         }
         let leads = self.holder.as_deref() == Some(member);
         Candidacy { generation: self.generation, leads }
     }
 
-    /// Lets a member go.
+    /// Removes a member.
     pub(crate) fn leave(&mut self, member: &str) {
         if self.members.remove(member).is_some() {
-            self.change();
+            self.bump_generation();
         }
         self.holder = self.holder.take().filter(|holder| holder != member);
     }
--- a/crates/rampbay-scale/src/load.rs
+++ b/crates/rampbay-scale/src/load.rs
@@ -1,32 +1,32 @@
-//! What the processes of a fleet ask of the store and of each other.
+//! Counts the calls that the processes of a fleet make to the store and to each other.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// What a process is.
+/// Kind of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// An entry with a good share of a core and a wide link.
-    AmpleEntry,
-    /// An entry with little room.
+    /// An entry on a machine with a good share of a core and a wide link.
+    WellProvisionedEntry,
+    /// An entry on a machine with little processor power and a narrow link.
     SmallEntry,
-    /// The agent beside a worker.
+    /// An agent, beside its worker.
     Agent,
 }
 
 impl Role {
-    /// Returns its name in tables.
+    /// Returns the label in tables.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
-            Self::AmpleEntry => "ample entry",
+            Self::WellProvisionedEntry => "ample entry",
             Self::SmallEntry => "small entry",
             Self::Agent => "agent",
         }
     }
 }
 
-/// What a call to the store is for.
+/// Purpose of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Purpose {
     /// An append to the state.
@@ -41,9 +41,9 @@
     ReadProgress,
     /// A page of the newest record of each key.
     Snapshot,
-    /// A call to lead, or to go on leading.
+    /// A call to become or remain leader.
     Stand,
-    /// A question who leads, which also shows whether the store answers.
+    /// A query for the leader, which also shows whether the store answers.
     Holder,
 }
 
@@ -60,9 +60,9 @@
         Self::Holder,
     ];
 
-    /// Returns its name in tables.
+    /// Returns the label in tables.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::AppendState => "append state",
             Self::AppendProgress => "append progress",
@@ -76,12 +76,12 @@
     }
 }
 
-/// Calls and bytes.
+/// Number and size of calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Number of calls.
     pub calls: u64,
-    /// Bytes both ways.
+    /// Bytes in both directions.
     pub bytes: u64,
 }
 
@@ -92,24 +92,24 @@
     }
 }
 
-/// Everything that was counted since the last [`Load::take`].
+/// All calls counted since the last [`Load::take`].
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// Calls to the store.
+    /// Calls to the store, by role and purpose.
     pub store: BTreeMap<(Role, Purpose), Traffic>,
-    /// Calls that each process answered for its peers, by its name.
-    pub served: BTreeMap<String, Traffic>,
+    /// Calls that each process answered for its peers, by the name of the process.
+    pub peer_calls: BTreeMap<String, Traffic>,
 }
 
 impl Counts {
-    /// Returns the calls to the store for a purpose.
+    /// Returns the number of calls to the store for a purpose.
     #[must_use]
     pub fn calls_for(&self, purpose: Purpose) -> u64 {
         let of_purpose = self.store.iter().filter(|((_, found), _)| *found == purpose);
         of_purpose.map(|(_, traffic)| traffic.calls).sum()
     }
 
-    /// Returns all calls to the store.
+    /// Returns the number of all calls to the store.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.store.values().map(|traffic| traffic.calls).sum()
@@ -121,41 +121,41 @@
         self.store.values().map(|traffic| traffic.bytes).sum()
     }
 
-    /// Returns all bytes that processes passed on to their peers.
+    /// Returns all bytes of calls between processes.
     #[must_use]
     pub fn passed_bytes(&self) -> u64 {
-        self.served.values().map(|traffic| traffic.bytes).sum()
+        self.peer_calls.values().map(|traffic| traffic.bytes).sum()
     }
 
-    /// Returns what the process did that answered most calls of its peers.
+    /// Returns the traffic of the process that answered the most calls of its peers.
     #[must_use]
     pub fn busiest(&self) -> Traffic {
-        self.served.values().copied().max_by_key(|traffic| traffic.calls).unwrap_or_default()
+        self.peer_calls.values().copied().max_by_key(|traffic| traffic.calls).unwrap_or_default()
     }
 
-    /// Returns what the process did that passed most bytes on to its peers.
+    /// Returns the traffic of the process that exchanged the most bytes with its peers.
     #[must_use]
-    pub fn widest(&self) -> Traffic {
-        self.served.values().copied().max_by_key(|traffic| traffic.bytes).unwrap_or_default()
+    pub fn heaviest(&self) -> Traffic {
+        self.peer_calls.values().copied().max_by_key(|traffic| traffic.bytes).unwrap_or_default()
     }
 }
 
-/// Counts calls.
+/// Counter of calls.
 #[derive(Debug, Default)]
 pub struct Load(RefCell<Counts>);
 
 impl Load {
     /// Counts a call to the store.
-    pub fn note_store(&self, role: Role, purpose: Purpose, bytes: usize) {
+    pub fn record_store_call(&self, role: Role, purpose: Purpose, bytes: usize) {
         self.0.borrow_mut().store.entry((role, purpose)).or_default().add(bytes);
     }
 
     /// Counts a call that a process answered for a peer.
-    pub fn note_served(&self, node: &str, bytes: usize) {
-        self.0.borrow_mut().served.entry(node.to_owned()).or_default().add(bytes);
+    pub fn record_peer_call(&self, node: &str, bytes: usize) {
+        self.0.borrow_mut().peer_calls.entry(node.to_owned()).or_default().add(bytes);
     }
 
-    /// Returns what was counted, and begins anew.
+    /// Returns the counts and resets them.
     pub fn take(&self) -> Counts {
         self.0.take()
     }
--- a/crates/rampbay-scale/src/network.rs
+++ b/crates/rampbay-scale/src/network.rs
@@ -1,4 +1,4 @@
-//! The network between the processes: delays, bytes, and processes that don't answer.
+//! The network between the processes: delays, byte counts, and processes that don't answer.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,30 +14,30 @@
 
 use crate::load::Load;
 
-/// Time of a message from one process to another.
-const ONE_WAY: Duration = Duration::from_millis(1);
+/// Time that a message takes from one process to another.
+const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
 
-/// How a process answers its peers.
+/// How a process responds to its peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reachable {
-    /// It answers.
+pub enum Reachability {
+    /// The process answers.
     #[default]
     Yes,
-    /// Nobody listens at its address.
+    /// Nothing listens at the address of the process.
     Refused,
-    /// Nothing comes back, not even a refusal: it is cut off, frozen or without power.
+    /// Nothing comes back, not even a refusal: the process is cut off, suspended or without power.
     Silent,
 }
 
 struct Host {
     node: String,
-    served: PeerService,
-    reachable: Reachable,
-    /// Told when the host is no longer reachable.
-    gone: Rc<Notify>,
+    peer_service: PeerService,
+    reachability: Reachability,
+    /// Notified when the host's reachability changes.
+    changed: Rc<Notify>,
 }
 
-/// The network.
+/// The network between the processes.
 #[derive(Default)]
 pub struct Network {
     hosts: RefCell<HashMap<String, Host>>,
@@ -45,67 +45,68 @@
 }
 
 impl Network {
-    /// Makes a network without processes.
+    /// Creates a network without processes.
     #[must_use]
     pub fn new(load: Rc<Load>) -> Rc<Self> {
         Rc::new(Self { hosts: RefCell::default(), load })
     }
 
-    /// Puts a process at an address, in place of whichever was there.
-    pub fn attach(&self, address: String, node: String, served: PeerService) {
-        let host = Host { node, served, reachable: Reachable::Yes, gone: Rc::default() };
+    /// Attaches a process to an address, replacing any previous one.
+    pub fn attach(&self, address: String, node: String, peer_service: PeerService) {
+        let host =
+            Host { node, peer_service, reachability: Reachability::Yes, changed: Rc::default() };
         self.hosts.borrow_mut().insert(address, host);
     }
 
-    /// Says how the process at an address answers.
-    pub fn set_reachable(&self, address: &str, reachable: Reachable) {
+    /// Sets how the process at an address responds.
+    pub fn set_reachability(&self, address: &str, reachability: Reachability) {
         if let Some(host) = self.hosts.borrow_mut().get_mut(address) {
-            host.reachable = reachable;
-            host.gone.notify_waiters();
+            host.reachability = reachability;
+            host.changed.notify_waiters();
         }
     }
 
     async fn answer(&self, address: &str, request: StoreRequest) -> Result<StoreReply, CallError> {
-        tokio::time::sleep(ONE_WAY).await;
+        tokio::time::sleep(ONE_WAY_DELAY).await;
         let host = match self.hosts.borrow().get(address) {
-            Some(host) if host.reachable == Reachable::Yes => {
-                Some((host.served.clone(), Rc::clone(&host.gone)))
+            Some(host) if host.reachability == Reachability::Yes => {
+                Some((host.peer_service.clone(), Rc::clone(&host.changed)))
             }
-            Some(host) if host.reachable == Reachable::Silent => None,
+            Some(host) if host.reachability == Reachability::Silent => None,
             _ => return Err(CallError::Refused),
         };
-        let Some((served, gone)) = host else { return std::future::pending().await };
-        let asked = size_of(&request);
+        let Some((peer_service, changed)) = host else { return std::future::pending().await };
+        let request_size = size_of(&request);
         let reply = tokio::select! {
-            reply = handle_request(&served, request) => reply,
-            () = gone.notified() => return self.lose(address).await,
+            reply = handle_request(&peer_service, request) => reply,
+            () = changed.notified() => return self.fail_call(address).await,
         };
-        tokio::time::sleep(ONE_WAY).await;
+        tokio::time::sleep(ONE_WAY_DELAY).await;
         match self.hosts.borrow().get(address) {
-            Some(host) if host.reachable == Reachable::Yes => {
-                self.load.note_served(&host.node, asked + size_of(&reply));
+            Some(host) if host.reachability == Reachability::Yes => {
+                self.load.record_peer_call(&host.node, request_size + size_of(&reply));
                 Ok(reply)
             }
             _ => Err(CallError::NoAnswer),
         }
     }
 
-    /// Answers a call whose host has gone: its connection breaks, or nothing comes back.
-    async fn lose(&self, address: &str) -> Result<StoreReply, CallError> {
+    /// Fails a call whose host is no longer reachable: the connection breaks, or nothing comes back.
+    async fn fail_call(&self, address: &str) -> Result<StoreReply, CallError> {
         let is_silent = self
             .hosts
             .borrow()
             .get(address)
-            .is_some_and(|host| host.reachable == Reachable::Silent);
+            .is_some_and(|host| host.reachability == Reachability::Silent);
         if is_silent {
             return std::future::pending().await;
         }
-        tokio::time::sleep(ONE_WAY).await;
+        tokio::time::sleep(ONE_WAY_DELAY).await;
         Err(CallError::NoAnswer)
     }
 }
 
-/// Returns how long a message is on the wire.
+/// Returns the size of a message on the wire.
 fn size_of<T: serde::Serialize>(message: &T) -> usize {
     postcard::to_allocvec(message).map_or(0, |bytes| bytes.len())
 }
--- a/crates/rampbay-scale/src/process.rs
+++ b/crates/rampbay-scale/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of a fleet: the product's, over the model's store and network.
+//! A process of a fleet: the product's code with the model's store and network.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 
 use crate::connection::Connection;
 use crate::load::Role;
-use crate::machine::{Machine, RACK};
+use crate::machine::{Machine, WORKERS_PER_RACK};
 use crate::network::Network;
 use crate::store::{ModelStore, OPERATOR_TOPIC};
 use crate::time::wall_clock;
@@ -32,15 +32,15 @@
 /// Service of all workers.
 pub(crate) const SERVICE: &str = "service";
 /// Time between two heartbeats of a worker.
-const HEARTBEAT: Duration = Duration::from_millis(1500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Takes in the operators' configurations, and notes when each came.
-struct Orders {
+/// Applies the operators' configurations and records when each arrived.
+struct ConfigurationSink {
     routing: Rc<CurrentRouting>,
     arrivals: Rc<RefCell<BTreeMap<u64, Instant>>>,
 }
 
-impl Sink for Orders {
+impl Sink for ConfigurationSink {
     fn reset(&mut self) {}
 
     fn apply(&mut self, record: &KeyedRecord) {
@@ -53,25 +53,25 @@
     }
 }
 
-/// A process, whatever it is.
+/// A process of any kind.
 pub struct Process {
     /// Its name.
     pub name: NodeName,
-    /// What it is.
+    /// Its kind.
     pub role: Role,
-    /// Where peers reach it.
+    /// Its peer address.
     pub address: String,
-    /// Its way to the store.
+    /// Its connection to the store.
     pub connection: Rc<Connection>,
-    /// The table that it keeps.
+    /// Its copy of the state.
     pub live: LiveTable,
-    /// What it knows of the operators' orders; entries only.
+    /// Its view of the operators' configuration and orders; entries only.
     pub routing: Rc<CurrentRouting>,
-    /// When each of the operators' configurations came.
+    /// When each version of the operators' configuration arrived.
     pub(crate) arrivals: Rc<RefCell<BTreeMap<u64, Instant>>>,
-    /// How it reads and appends.
+    /// The store stack through which it reads and appends.
     pub(crate) store: Rc<dyn Store>,
-    /// Its work.
+    /// The task that runs it.
     pub(crate) task: JoinHandle<()>,
 }
 
@@ -82,14 +82,14 @@
         self.role != Role::Agent
     }
 
-    /// Starts the process of a machine; an agent has a worker.
+    /// Starts the process of a machine: an agent if there is a worker, otherwise an entry.
     pub(crate) fn start(
         store: &Rc<ModelStore>,
         network: &Rc<Network>,
         machine: Machine,
         worker: Option<&Rc<ModelWorker>>,
     ) -> Self {
-        let Machine { place, role, settings } = machine;
+        let Machine { index, role, settings } = machine;
         let settings = Rc::new(settings);
         let live = match worker {
             Some(_) => LiveTable::of_agent(settings.node.clone()),
@@ -97,37 +97,38 @@
         };
         let connection = Connection::new(store, role);
         let routing = Rc::new(CurrentRouting::default());
-        let ways = StoreStack::open(StoreStackParts {
+        let stack = StoreStack::open(StoreStackParts {
             settings: Rc::clone(&settings),
             transport: network.clone(),
             live: live.clone(),
             store: connection.clone(),
-            subscription: follows(role, &routing),
+            subscription: subscription_of(role, &routing),
         });
-        let store = Rc::clone(&ways.store);
+        let store = Rc::clone(&stack.store);
         let name = settings.node.clone();
         let address = format!("{}:{}", settings.ip, settings.peer_port);
-        network.attach(address.clone(), name.clone(), ways.peer_service.clone());
+        network.attach(address.clone(), name.clone(), stack.peer_service.clone());
         let arrivals = Rc::default();
         let task = if let Some(worker) = worker {
             let worker = Rc::clone(worker);
-            tokio::task::spawn_local(run_agent(place, settings, live.clone(), ways, worker))
+            tokio::task::spawn_local(run_agent(index, settings, live.clone(), stack, worker))
         } else {
             let entry = Entry {
                 settings,
                 store: Rc::clone(&store),
-                routes: ways.routes.clone(),
+                routes: stack.routes.clone(),
                 live: live.clone(),
                 routing: Rc::clone(&routing),
             };
-            let orders = Orders { routing: Rc::clone(&routing), arrivals: Rc::clone(&arrivals) };
-            tokio::task::spawn_local(run_entry(place, entry, ways, orders))
+            let orders =
+                ConfigurationSink { routing: Rc::clone(&routing), arrivals: Rc::clone(&arrivals) };
+            tokio::task::spawn_local(run_entry(index, entry, stack, orders))
         };
         Self { name, role, address, connection, live, routing, arrivals, store, task }
     }
 }
 
-fn follows(role: Role, routing: &CurrentRouting) -> Subscription {
+fn subscription_of(role: Role, routing: &CurrentRouting) -> Subscription {
     if role == Role::Agent {
         Subscription::OwnWorker
     } else {
@@ -136,22 +137,22 @@
     }
 }
 
-async fn run_entry(place: usize, entry: Entry, ways: StoreStack, orders: Orders) {
-    let leads = entry.clone().lead(wall_clock, place as u64);
-    tokio::join!(ways.maintain(), entry.follow(OPERATOR_TOPIC, orders), leads);
+async fn run_entry(index: usize, entry: Entry, stack: StoreStack, orders: ConfigurationSink) {
+    let leads = entry.clone().lead(wall_clock, index as u64);
+    tokio::join!(stack.maintain(), entry.follow(OPERATOR_TOPIC, orders), leads);
 }
 
 async fn run_agent(
-    place: usize,
+    index: usize,
     settings: Rc<Settings>,
     live: LiveTable,
-    ways: StoreStack,
+    stack: StoreStack,
     worker: Rc<ModelWorker>,
 ) {
     let client = Rc::clone(&worker);
     let host = AgentHost::new(AgentParts {
         node: settings.node.clone(),
-        store: Rc::clone(&ways.store),
+        store: Rc::clone(&stack.store),
         table: Rc::clone(&live.table),
         freshness: Rc::clone(&live.freshness),
         connect: Box::new(move |_, _| -> Rc<dyn Worker> { client.clone() }),
@@ -160,30 +161,31 @@
         wall_clock,
         settings: settings.agent(),
     });
-    let _lives = Lives(Rc::clone(&host));
-    let agent = Agent { store: Rc::clone(&ways.store), live, host: Rc::clone(&host) };
-    let beats = send_heartbeats(place, &settings, host);
-    tokio::join!(ways.maintain(), agent.run(), beats);
+    let _incarnations = IncarnationsGuard(Rc::clone(&host));
+    let agent = Agent { store: Rc::clone(&stack.store), live, host: Rc::clone(&host) };
+    let heartbeats = send_heartbeats(index, &settings, host);
+    tokio::join!(stack.maintain(), agent.run(), heartbeats);
 }
 
-/// Ends the lives that an agent serves, which have tasks of their own, with its process.
-struct Lives(Rc<AgentHost>);
+/// Ends the worker incarnations that an agent serves, which have tasks of their own, when the agent's task is
+/// dropped.
+struct IncarnationsGuard(Rc<AgentHost>);
 
-impl Drop for Lives {
+impl Drop for IncarnationsGuard {
     fn drop(&mut self) {
         self.0.abandon();
     }
 }
 
-async fn send_heartbeats(place: usize, settings: &Settings, host: Rc<AgentHost>) {
-    let instance: InstanceId = format!("worker-{place}");
+async fn send_heartbeats(index: usize, settings: &Settings, host: Rc<AgentHost>) {
+    let instance: InstanceId = format!("worker-{index}");
     let record = WorkerRecord {
         node: settings.node.clone(),
         service: SERVICE.to_owned(),
         address: format!("{}:8000", settings.ip),
         failure_domain: settings.failure_domain.clone(),
         capacity: Resources { cpu_milli: 128_000, memory_mb: 262_144, devices: 8 },
-        labels: vec!["kind".to_owned(), format!("rack-{}", place / RACK)],
+        labels: vec!["kind".to_owned(), format!("rack-{}", index / WORKERS_PER_RACK)],
         ..WorkerRecord::default()
     };
     for sequence in 1.. {
@@ -193,6 +195,6 @@
             record: record.clone(),
             remaining: None,
         });
-        sleep(HEARTBEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
--- a/crates/rampbay-scale/src/store.rs
+++ b/crates/rampbay-scale/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: an append-only log in memory.
+//! The model's store: append-only logs in memory.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -18,37 +18,37 @@
 pub const OPERATOR_TOPIC: &str = "operators";
 
 /// Time of an answer, and of an append in its partition's queue.
-pub(crate) const ANSWER: Duration = Duration::from_millis(4);
-/// Longest queue of appends; more are turned away.
-const LONGEST_QUEUE: Duration = Duration::from_secs(2);
+pub(crate) const ANSWER_TIME: Duration = Duration::from_millis(4);
+/// Maximum waiting time in the queue of appends; later appends are refused.
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
 
 #[derive(Default)]
 struct Topic {
     records: Vec<KeyedRecord>,
     first_kept: usize,
-    /// When the last append of the queue is done.
+    /// When the last append of the queue completes.
     busy_until: Option<Instant>,
     epochs: HashMap<String, (u64, u64, Offset)>,
 }
 
-/// The store.
+/// The store of a fleet.
 pub struct ModelStore {
     topics: RefCell<HashMap<String, Topic>>,
-    /// Told of each append.
+    /// Notified of each append.
     pub(crate) appended: Notify,
     /// The candidates for leadership.
     pub(crate) group: RefCell<Group>,
-    /// What is asked of it.
+    /// Counter of the calls to the store.
     pub(crate) load: Rc<Load>,
-    /// How many times as long as usual each answer takes.
+    /// Factor by which each answer takes longer than usual.
     pub slowness: Cell<u32>,
-    /// Share of its answers that get lost, in percent.
-    pub lost_percent: Cell<u64>,
+    /// Percentage of answers that are lost.
+    pub lost_answer_percent: Cell<u64>,
     answers: Cell<u64>,
 }
 
 impl ModelStore {
-    /// Makes an empty store.
+    /// Creates an empty store.
     #[must_use]
     pub fn new(load: Rc<Load>) -> Rc<Self> {
         Rc::new(Self {
@@ -57,36 +57,36 @@
             group: RefCell::default(),
             load,
             slowness: Cell::new(1),
-            lost_percent: Cell::new(0),
+            lost_answer_percent: Cell::new(0),
             answers: Cell::new(0),
         })
     }
 
-    /// Writes a record as an operator does, at once.
+    /// Writes a record immediately, as an operator does.
     pub fn write(&self, topic: &str, key: &str, value: Vec<u8>) {
         self.push(topic, &[KeyedRecord { key: key.to_owned(), value }]);
     }
 
     /// Drops all history; the newest record of each key stays.
-    pub fn forget_history(&self) {
+    pub fn drop_history(&self) {
         for topic in self.topics.borrow_mut().values_mut() {
             topic.first_kept = topic.records.len();
         }
     }
 
-    /// Returns who leads.
+    /// Returns the leader.
     pub fn leader(&self) -> Option<NodeName> {
         let mut group = self.group.borrow_mut();
-        group.lapse();
+        group.expire();
         group.holder.clone()
     }
 
-    /// Returns how often leadership has been dealt.
+    /// Returns the number of assignments of leadership.
     pub fn generation(&self) -> u64 {
         self.group.borrow().generation
     }
 
-    /// Appends records at once.
+    /// Appends records immediately.
     pub(crate) fn push(&self, topic: &str, records: &[KeyedRecord]) -> Offset {
         let mut topics = self.topics.borrow_mut();
         let topic = topics.entry(topic.to_owned()).or_default();
@@ -95,8 +95,8 @@
         topic.records.len() as Offset
     }
 
-    /// Appends records at once, unless a later epoch has written or they have come before.
-    pub(crate) fn fenced_push(
+    /// Appends records immediately, unless a later epoch has written or the records have been appended before.
+    pub(crate) fn push_fenced(
         &self,
         topic: &str,
         records: &[KeyedRecord],
@@ -121,28 +121,28 @@
         Ok(end)
     }
 
-    /// Returns whether the next answer gets lost.
-    pub(crate) fn loses_next(&self) -> bool {
+    /// Returns whether the next answer is lost.
+    pub(crate) fn loses_next_answer(&self) -> bool {
         let number = self.answers.get();
         self.answers.set(number + 1);
-        number.wrapping_mul(2_654_435_761) % 1_000_003 % 100 < self.lost_percent.get()
+        number.wrapping_mul(2_654_435_761) % 1_000_003 % 100 < self.lost_answer_percent.get()
     }
 
-    /// Returns the time that an answer takes now.
-    pub(crate) fn time(&self, usual: Duration) -> Duration {
+    /// Returns a duration multiplied by the current slowness.
+    pub(crate) fn scaled(&self, usual: Duration) -> Duration {
         usual * self.slowness.get()
     }
 
-    /// Returns when an append that arrives now is done; `None` if too many wait.
-    pub(crate) fn queue(&self, topic: &str) -> Option<Instant> {
+    /// Queues an append that arrives now and returns when it completes; `None` if the queue is too long.
+    pub(crate) fn enqueue_append(&self, topic: &str) -> Option<Instant> {
         let mut topics = self.topics.borrow_mut();
         let topic = topics.entry(topic.to_owned()).or_default();
         let now = Instant::now();
         let start = topic.busy_until.map_or(now, |until| until.max(now));
-        if start - now > LONGEST_QUEUE {
+        if start - now > MAX_QUEUE_TIME {
             return None;
         }
-        let done = start + self.time(ANSWER);
+        let done = start + self.scaled(ANSWER_TIME);
         topic.busy_until = Some(done);
         Some(done)
     }
@@ -160,7 +160,7 @@
     }
 
     /// Returns the newest record of each key that isn't deleted, and the end of the topic.
-    pub(crate) fn newest_of(&self, topic: &str) -> (Vec<KeyedRecord>, Offset) {
+    pub(crate) fn newest_records(&self, topic: &str) -> (Vec<KeyedRecord>, Offset) {
         let mut topics = self.topics.borrow_mut();
         let topic = topics.entry(topic.to_owned()).or_default();
         let newest: BTreeMap<&String, &KeyedRecord> =
--- a/crates/rampbay-scale/src/time.rs
+++ b/crates/rampbay-scale/src/time.rs
@@ -1,24 +1,24 @@
-//! Virtual time: it passes only while nothing is left to do.
+//! Virtual time: it advances only while no task is ready to run.
 
 use std::time::Duration;
 
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// Beyond any age that is subtracted from a moment.
-const BOOTED: Duration = Duration::from_secs(1_000_000);
-/// The time of day at which virtual time begins, in milliseconds since the Unix epoch.
+/// Time since boot at the start of virtual time; longer than any age that is subtracted from an instant.
+const UPTIME_AT_START: Duration = Duration::from_secs(1_000_000);
+/// Wall-clock time at which virtual time begins, in milliseconds since the Unix epoch.
 const FIRST_WALL_MS: u64 = 1_000_000;
 
 thread_local! {
     static START: Instant = Instant::now();
 }
 
-/// Runs a future on virtual time, on one thread, and returns what it came to.
+/// Runs a future to completion in virtual time, on one thread, and returns its output.
 ///
 /// # Panics
 ///
-/// Panics if no runtime can be made.
+/// Panics if no runtime can be built.
 pub fn run<F: Future>(future: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -30,10 +30,10 @@
 }
 
 fn since_boot() -> Duration {
-    BOOTED + START.with(Instant::elapsed)
+    UPTIME_AT_START + START.with(Instant::elapsed)
 }
 
-/// Returns the time of day, in milliseconds since the Unix epoch.
+/// Returns the wall-clock time, in milliseconds since the Unix epoch.
 #[must_use]
 pub fn wall_clock() -> u64 {
     FIRST_WALL_MS + START.with(Instant::elapsed).as_millis() as u64
--- a/crates/rampbay-scale/src/worker.rs
+++ b/crates/rampbay-scale/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker that carries out what it is told; each run takes the same time.
+//! A worker that carries out its orders; every run takes the same time.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,8 +14,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Time of an answer: the worker stands on its agent's machine.
-const ANSWER: Duration = Duration::from_micros(200);
+/// Time of an answer: the worker is on its agent's machine.
+const ANSWER_TIME: Duration = Duration::from_micros(200);
 
 type RunKey = (TaskId, u32);
 
@@ -39,14 +39,14 @@
     }
 
     fn finish(&mut self, run_time: Duration) {
-        let is_over = |begun: &Instant| begun.elapsed() >= run_time;
-        let over = self.running.iter().filter(|(_, begun)| is_over(begun));
+        let is_over = |began: &Instant| began.elapsed() >= run_time;
+        let over = self.running.iter().filter(|(_, began)| is_over(began));
         let over: Vec<RunKey> = over.map(|(key, _)| key.clone()).collect();
         over.iter().for_each(|key| self.end(key, EndReason::Done));
     }
 }
 
-/// The worker.
+/// A worker of the model.
 pub struct ModelWorker {
     born: Instant,
     run_time: Duration,
@@ -55,7 +55,7 @@
 }
 
 impl ModelWorker {
-    /// Makes a worker whose runs take `run_time`.
+    /// Creates a worker whose runs take `run_time`.
     #[must_use]
     pub fn new(run_time: Duration) -> Rc<Self> {
         Rc::new(Self {
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Counts the runs that have begun and not ended.
+    /// Returns the number of active runs.
     pub fn running(&self) -> usize {
         self.runs.borrow().running.len()
     }
@@ -74,14 +74,14 @@
     /// Returns when the next run ends.
     fn next_end(&self) -> Option<Instant> {
         let runs = self.runs.borrow();
-        runs.running.values().min().map(|begun| *begun + self.run_time)
+        runs.running.values().min().map(|began| *began + self.run_time)
     }
 }
 
 #[async_trait(?Send)]
 impl Worker for ModelWorker {
     async fn start(&self, order: &StartOrder) -> Result<Started, WorkerError> {
-        sleep(ANSWER).await;
+        sleep(ANSWER_TIME).await;
         let key = (order.task.clone(), order.attempt);
         self.runs.borrow_mut().running.entry(key).or_insert_with(Instant::now);
         self.changed.notify_waiters();
@@ -89,7 +89,7 @@
     }
 
     async fn stop(&self, order: &StopOrder) -> Result<(), WorkerError> {
-        sleep(ANSWER).await;
+        sleep(ANSWER_TIME).await;
         let key = (order.task.clone(), order.attempt);
         self.runs.borrow_mut().end(&key, EndReason::Stopped);
         self.changed.notify_waiters();
@@ -97,7 +97,7 @@
     }
 
     async fn renew(&self, order: &RenewOrder) -> Result<Listing, WorkerError> {
-        sleep(ANSWER).await;
+        sleep(ANSWER_TIME).await;
         let deadline = Instant::now() + order.wait;
         loop {
             let changed = self.changed.notified();
@@ -112,10 +112,10 @@
         }
         let mut runs = self.runs.borrow_mut();
         runs.ended.retain(|end| end.number > order.last_seen);
-        let running = runs.running.iter().map(|((task, attempt), begun)| RunProgress {
+        let running = runs.running.iter().map(|((task, attempt), began)| RunProgress {
             task: task.clone(),
             attempt: *attempt,
-            percent: percent(begun.elapsed(), self.run_time),
+            percent: percent(began.elapsed(), self.run_time),
             ran_ms: 0,
             checkpoint: String::new(),
         });
@@ -127,7 +127,7 @@
     }
 }
 
-fn percent(elapsed: Duration, whole: Duration) -> u32 {
-    let permille = elapsed.as_millis() * 100 / whole.as_millis().max(1);
-    u32::try_from(permille).map_or(99, |percent| percent.min(99))
+fn percent(elapsed: Duration, total: Duration) -> u32 {
+    let percent = elapsed.as_millis() * 100 / total.as_millis().max(1);
+    u32::try_from(percent).map_or(99, |percent| percent.min(99))
 }
--- a/crates/rampbay-scale/tests/restarts.rs
+++ b/crates/rampbay-scale/tests/restarts.rs
@@ -1,7 +1,8 @@
-//! Many processes start again at one moment.
+//! Many processes restart at one moment.
 //!
-//! Nearly all processes of a whole fleet were killed at once: 0.19 GB were read from the store, which grows with the square
-//! of the fleet since each process read the whole state, and for four seconds nothing was served.
+//! Guards against a failure seen when nearly all processes of a whole fleet were killed at once: 0.19 GB were read
+//! from the store, an amount that grows with the square of the fleet since each process read the whole state, and
+//! for four seconds no call was served.
 
 use std::time::Duration;
 
@@ -13,26 +14,26 @@
 use rstest::rstest;
 use tokio::time::sleep;
 
-/// Time in which a fleet comes to rest.
-const REST: Duration = Duration::from_secs(6);
-/// Time for which what was killed is down.
-const DOWN: Duration = Duration::from_secs(2);
-/// Time after which work is started again, and each process knows the state.
-const RECOVERED: Duration = Duration::from_millis(2000);
+/// Time after which a fleet has settled.
+const SETTLE_TIME: Duration = Duration::from_secs(6);
+/// Time for which killed processes are down.
+const DOWNTIME: Duration = Duration::from_secs(2);
+/// Time after which work is started again and each process knows the state.
+const RECOVERY_LIMIT: Duration = Duration::from_millis(2000);
 
-/// What is killed.
+/// The processes that are killed.
 #[derive(Clone, Copy, Debug)]
 enum Killed {
     /// Every second process, and the leader.
     Half,
     /// All entries.
     Entries,
-    /// Everything.
+    /// All processes.
     All,
 }
 
 impl Killed {
-    fn strike(self, fleet: &mut Fleet) {
+    fn inject(self, fleet: &mut Fleet) {
         let leader = fleet.leader().map(|leader| leader.name.clone()).unwrap_or_default();
         let is_odd = |name: &str| name.bytes().last().is_some_and(|last| last % 2 == 1);
         fleet.kill(|process: &Process| match self {
@@ -43,19 +44,19 @@
     }
 }
 
-/// Kills processes and starts them again; returns what they asked the store for until all was at rest.
+/// Kills processes and restarts them; returns their calls to the store until the fleet has settled.
 async fn restart(fleet: &mut Fleet, killed: Killed) -> Counts {
-    killed.strike(fleet);
-    sleep(DOWN).await;
+    killed.inject(fleet);
+    sleep(DOWNTIME).await;
     fleet.load.take();
     fleet.restart().await;
     fleet.submit("00000000000000aa", 4, 1).await;
-    let recovered = fleet.until(RECOVERED, |fleet| {
-        fleet.running() > 0 && fleet.knows_workers() && fleet.oldest_table() < RECOVERED
+    let recovered = fleet.wait_until(RECOVERY_LIMIT, |fleet| {
+        fleet.running() > 0 && fleet.knows_workers() && fleet.oldest_table_age() < RECOVERY_LIMIT
     });
     let recovered = recovered.await;
-    assert!(recovered.is_some(), "{killed:?}: not recovered after {RECOVERED:?}");
-    sleep(REST).await;
+    assert!(recovered.is_some(), "{killed:?}: not recovered after {RECOVERY_LIMIT:?}");
+    sleep(SETTLE_TIME).await;
     fleet.load.take()
 }
 
@@ -66,13 +67,14 @@
 ) {
     time::run(async {
         let mut fleet = Fleet::start(Size::of(machines)).await;
-        sleep(REST).await;
+        sleep(SETTLE_TIME).await;
         restart(&mut fleet, killed).await;
     });
 }
 
 /// A fleet of four times the size, whose state is four times as large, reads some four times as much of it: a few
-/// ample entries read it, not each process. Between 480 and 983 machines it was ten times as much.
+/// well-provisioned entries read the state, not each process. Between 480 and 983 machines it was ten times as
+/// much.
 #[rstest]
 fn bytes_of_restart_not_as_square_of_size(
     #[values(Killed::Half, Killed::All)] killed: Killed,
@@ -82,7 +84,7 @@
         let mut bytes = 0;
         time::run(async {
             let mut fleet = Fleet::start(Size::of(machines)).await;
-            sleep(REST).await;
+            sleep(SETTLE_TIME).await;
             let counts = restart(&mut fleet, killed).await;
             println!("{machines} {:?}", counts.store);
             bytes = counts.store_bytes();
@@ -96,32 +98,33 @@
     );
 }
 
-/// One agent that starts reads nothing of the state from the store.
+/// A single agent that restarts reads nothing of the state from the store.
 #[test]
 fn snapshot_of_single_agent_through_peers() {
     time::run(async {
         let mut fleet = Fleet::start(Size::of(120)).await;
-        sleep(REST).await;
+        sleep(SETTLE_TIME).await;
         let name = fleet.agents().last().map(|agent| agent.name.clone()).unwrap_or_default();
         fleet.kill(|process| process.name == name);
         fleet.load.take();
         fleet.restart().await;
-        sleep(REST).await;
+        sleep(SETTLE_TIME).await;
         assert!(fleet.knows_workers());
         assert_eq!(fleet.load.take().calls_for(Purpose::Snapshot), 0);
     });
 }
 
-/// Most time until jobs are done that were handed in as everything was killed, beside the 3 s of their runs.
-const LATE: Duration = Duration::from_millis(500);
+/// Maximum time until jobs are done that were submitted when everything was killed, in addition to the 3 s of
+/// their runs.
+const MAX_DELAY: Duration = Duration::from_millis(500);
 
-/// Everything is killed again and again while jobs are handed in. Killed agents that went on in the model stopped the
-/// runs of their successors: no job was ever done.
+/// Everything is killed repeatedly while jobs are submitted. When killed agents kept running in the model, they
+/// stopped the runs of the restarted agents, and no job was ever done.
 #[rstest]
 fn jobs_done_after_each_kill_of_everything(#[values(63, 240)] machines: usize) {
     time::run(async {
         let mut fleet = Fleet::start(Size::of(machines)).await;
-        sleep(REST).await;
+        sleep(SETTLE_TIME).await;
         for round in 0..3 {
             let ids = [format!("{round:015x}a"), format!("{round:015x}b")];
             fleet.submit(&ids[0], 3, 1).await;
@@ -130,8 +133,8 @@
             fleet.restart().await;
             fleet.submit(&ids[1], 3, 1).await;
             let are_done = |fleet: &Fleet| ids.iter().all(|id| fleet.is_done(id));
-            let done = fleet.until(REST, are_done).await;
-            assert!(done.is_some_and(|done| done < Duration::from_secs(3) + LATE), "{done:?}");
+            let done = fleet.wait_until(SETTLE_TIME, are_done).await;
+            assert!(done.is_some_and(|done| done < Duration::from_secs(3) + MAX_DELAY), "{done:?}");
         }
     });
 }
