--- a/crates/rampbay-scale/src/load.rs
+++ b/crates/rampbay-scale/src/load.rs
@@ -17,7 +17,7 @@
 impl Role {
     /// Returns the label in tables.
     #[must_use]
-    pub const fn as_str(self) -> &'static str {
+    pub const fn label(self) -> &'static str {
         match self {
             Self::WellProvisionedEntry => "ample entry",
             Self::SmallEntry => "small entry",
@@ -62,7 +62,7 @@
 
     /// Returns the label in tables.
     #[must_use]
-    pub const fn as_str(self) -> &'static str {
+    pub const fn label(self) -> &'static str {
         match self {
             Self::AppendState => "append state",
             Self::AppendProgress => "append progress",
--- a/crates/rampbay-scale/src/main.rs
+++ b/crates/rampbay-scale/src/main.rs
@@ -83,7 +83,7 @@
     let seconds = MEASURED_TIME.as_secs_f64();
     let rate = |count: u64| format!("{:.1}", count as f64 / seconds);
     for purpose in Purpose::ALL {
-        let name = format!("idle: calls a second, {}", purpose.as_str());
+        let name = format!("idle: calls a second, {}", purpose.label());
         rows.push((name, rate(counts.calls_for(purpose))));
     }
     rows.push(("idle: calls a second".to_owned(), rate(counts.calls())));
