--- a/crates/rampbay-dispatch/src/dispatcher.rs
+++ b/crates/rampbay-dispatch/src/dispatcher.rs
@@ -620,7 +620,7 @@
         let State::Sent(sent) = &mut request.state else {
             return;
         };
-        let heard = self.sides.get(&sent.side).map_or(Duration::ZERO, |row| row.heard);
+        let heard = self.sides.get(&sent.side).map_or(Duration::ZERO, |row| row.last_contact);
         let silent = now.saturating_sub(heard) > self.settings.give_up_after;
         let since = now.saturating_sub(sent.last_sent);
         match sent.cancel {
--- a/crates/rampbay-dispatch/src/sides.rs
+++ b/crates/rampbay-dispatch/src/sides.rs
@@ -18,7 +18,7 @@
     /// What it last reported.
     pub load: Option<Load>,
     /// When it was last heard.
-    pub heard: Duration,
+    pub last_contact: Duration,
     /// Whether the platform's list says that it leaves.
     pub listed_leaving: bool,
     /// Attempts of this entry that have no result yet.
@@ -80,7 +80,7 @@
             failure_domain: failure_domain.to_owned(),
             incarnation: None,
             load: None,
-            heard: Duration::ZERO,
+            last_contact: Duration::ZERO,
             listed_leaving: leaving,
             outstanding: 0,
             sent_since_report: 0,
@@ -95,7 +95,7 @@
     pub fn retain_listed(&mut self, listed: &[ProcessId], now: Duration) {
         let silent_after = self.settings.silent_after;
         self.rows.retain(|id, row| {
-            let speaks = now.saturating_sub(row.heard) < silent_after;
+            let speaks = now.saturating_sub(row.last_contact) < silent_after;
             listed.contains(id) || row.outstanding > 0 || speaks
         });
     }
@@ -109,7 +109,7 @@
             row.ejected_until = Duration::ZERO;
         }
         row.incarnation = Some(load.from);
-        row.heard = now;
+        row.last_contact = now;
         row.sent_since_report = 0;
         row.load = Some(load);
         earlier
@@ -158,7 +158,7 @@
 
     fn is_alive(&self, row: &SideRow, now: Duration) -> bool {
         let Some(load) = &row.load else { return false };
-        let speaks = now.saturating_sub(row.heard) <= self.settings.silent_after;
+        let speaks = now.saturating_sub(row.last_contact) <= self.settings.silent_after;
         speaks && !load.leaving && !row.listed_leaving
     }
 
--- a/crates/rampbay-entry/src/dispatching.rs
+++ b/crates/rampbay-entry/src/dispatching.rs
@@ -244,7 +244,7 @@
         let rows = self.dispatcher.sides().iter();
         rows.map(|(id, row)| {
             let load = row.load.as_ref();
-            let silent = now.saturating_sub(row.heard);
+            let silent = now.saturating_sub(row.last_contact);
             UpstreamView {
                 id: id.clone(),
                 failure_domain: row.failure_domain.clone(),
