--- a/crates/rampctl/src/client.rs
+++ b/crates/rampctl/src/client.rs
@@ -9,8 +9,8 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-const WAIT: Duration = Duration::from_secs(15);
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
+const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
 /// Why a command failed.
 #[derive(Debug, Error)]
@@ -18,18 +18,18 @@
     /// The command was used wrongly.
     #[error("{0}")]
     Use(String),
-    /// The entry refused.
+    /// The entry refused the call.
     #[error("refused ({status}): {message}")]
     Refused {
         /// The HTTP status.
         status: u16,
-        /// The entry's words.
+        /// The message of the entry's answer.
         message: String,
     },
     /// The entry can't be reached.
     #[error("entry {entry} can't be reached: {message}")]
     Unreachable {
-        /// Its address.
+        /// The entry's address.
         entry: SocketAddr,
         /// What went wrong.
         message: String,
@@ -66,11 +66,12 @@
         Self { addr, key }
     }
 
-    /// Calls an endpoint and returns the JSON that it answers.
+    /// Calls an endpoint and returns its JSON answer.
     ///
     /// # Errors
     ///
-    /// Returns why there is no good answer.
+    /// Returns an error if there is no answer, its status isn't a success, or its body isn't the
+    /// expected JSON.
     pub async fn call<T: DeserializeOwned>(
         &self,
         method: Method,
@@ -82,7 +83,7 @@
             bearer.iter().map(|bearer| ("authorization", bearer.as_str())).collect();
         let client = OnceClient::new(self.addr, 1);
         let answer = client
-            .call(method, path, &headers, body, WAIT, MAX_ANSWER)
+            .call(method, path, &headers, body, CALL_TIMEOUT, MAX_ANSWER_BYTES)
             .await
             .map_err(|e| self.unreachable(&e))?;
         if answer.status == StatusCode::GATEWAY_TIMEOUT {
@@ -103,7 +104,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Client::call`].
+    /// Returns the errors of [`Client::call`].
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CtlError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
--- a/crates/rampctl/src/commands.rs
+++ b/crates/rampctl/src/commands.rs
@@ -23,14 +23,14 @@
     args::{Args, Command, DrainArgs, LossesArgs, TableCommand, TableSet, TimelineArgs},
     client::{Client, CtlError},
     grids, html,
-    losses::{LogLine, Report, Trails},
+    losses::{JobHistories, LogLine, Report},
 };
 
 /// Runs a command and returns what it prints.
 ///
 /// # Errors
 ///
-/// Returns why it failed.
+/// Returns why the command failed.
 pub async fn run(args: Args) -> Result<String, CtlError> {
     let client = Client::new(args.entry, args.key.clone());
     let json = args.json;
@@ -84,13 +84,14 @@
     let view: TableView = client.get("/v1/table").await?;
     let rows = view.rows.iter().map(|(name, row)| (name, &row.knobs));
     let csv = to_csv(rows).map_err(|e| CtlError::Use(e.to_string()))?;
-    // The version goes along as a comment, so that `set` can tell what its editor saw.
+    // The versions of the rows are written as a comment line, so that `table set` knows which version
+    // of each row the editor saw.
     let versions: Vec<String> =
         view.rows.iter().map(|(name, row)| format!("{name}={}", row.changed)).collect();
     Ok(format!("{VERSIONS_PREFIX}{}\n{}", versions.join(" "), csv.trim_end()))
 }
 
-/// Begins the first line of a table that was got.
+/// Prefix of the first line that `table get` writes.
 const VERSIONS_PREFIX: &str = "# versions: ";
 
 /// Splits a file into the versions that its editor saw and the CSV.
@@ -142,7 +143,8 @@
     }
 }
 
-/// Returns the edit that makes the table what the file wants, based on what its editor saw.
+/// Returns the edit that turns the table into the wanted one, based on the versions that the editor
+/// saw.
 #[must_use]
 pub fn edit_from(
     view: &TableView,
@@ -162,7 +164,7 @@
         }
     }
     for name in view.rows.keys() {
-        // A row that the editor never saw isn't one that he wants gone.
+        // A row that the editor never saw is missing from the file for that reason, so it is kept.
         let was_seen = seen.is_empty() || seen.contains_key(name);
         if !wanted.contains_key(name) && was_seen {
             edit = edit.remove(name.clone(), base(name));
@@ -255,7 +257,7 @@
     let lines = texts.iter().flat_map(|text| text.lines());
     let mut lines: Vec<LogLine<'_>> = lines.filter_map(LogLine::parse).collect();
     lines.sort_by_key(|line| line.time);
-    let mut trails = Trails::default();
-    lines.iter().for_each(|line| trails.take_in(line));
-    Ok(Report::of(&trails))
+    let mut histories = JobHistories::default();
+    lines.iter().for_each(|line| histories.apply(line));
+    Ok(Report::of(&histories))
 }
--- a/crates/rampctl/src/grids.rs
+++ b/crates/rampctl/src/grids.rs
@@ -173,7 +173,7 @@
     text
 }
 
-/// Shows what was lost, and what the stops for urgent work bought.
+/// Shows the jobs by outcome, and the stops for urgent work by the outcome of their beneficiaries.
 #[must_use]
 pub fn losses(report: &Report) -> String {
     let name = |loss: Loss| format!("{loss:?}");
--- a/crates/rampctl/src/html.rs
+++ b/crates/rampctl/src/html.rs
@@ -55,6 +55,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
+// Sizes in the page's drawing, in pixels.
 const LANE_HEIGHT: f64 = 46.0;
 const WIDTH: f64 = 1_100.0;
 const LEFT: f64 = 150.0;
--- a/crates/rampctl/src/losses/trail.rs
+++ b/crates/rampctl/src/losses/history.rs
@@ -1,4 +1,4 @@
-//! The way of each job through the log.
+//! The history of each job, as read from the log.
 
 use std::collections::BTreeMap;
 
@@ -6,35 +6,37 @@
 
 use super::line::{EpochMillis, LogLine};
 
-/// Why a job was lost or late: the largest part of its time beyond what its work takes.
+/// Why a job was lost or late. For a late job, this is the phase that took the most time beyond
+/// what its work takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Loss {
-    /// None: it ended in time by its caller's estimate.
+    /// None: the job succeeded within its objective.
     InTime,
     /// It was never accepted.
     Refused,
     /// Its caller cancelled it.
     Cancelled,
-    /// It was given up: the workers that it was started on crash under it.
+    /// It was given up, because the workers that it was started on crashed.
     CrashedWorkers,
-    /// It has failed, or hadn't ended when the log did.
+    /// It failed, or hadn't ended by the end of the log.
     NotEnded,
-    /// It waited for room before its first run was assigned.
+    /// It waited for capacity before its first run was assigned.
     WaitedForRoom,
     /// Its first run was ordered late after it was assigned.
     OrderedLate,
     /// A run ended early, and it had to run again.
     RanAgain,
-    /// Its last runs took longer than the estimate: a slow worker, spread over racks, a bad estimate.
+    /// Its last runs took longer than the estimate: a worker was slow, the job was spread over racks,
+    /// or the estimate was wrong.
     RanLong,
     /// It was shown as ended late after its last run had ended.
     ToldLate,
 }
 
-/// What the log tells of one job.
+/// What the log says about one job.
 #[derive(Clone, Debug, Default)]
-pub struct Trail {
+pub struct JobHistory {
     /// Its queue.
     pub queue: String,
     /// Estimate and objective, in milliseconds.
@@ -52,7 +54,7 @@
     given_up: bool,
 }
 
-impl Trail {
+impl JobHistory {
     /// Returns why the job was lost or late.
     #[must_use]
     pub fn loss(&self) -> Loss {
@@ -81,9 +83,9 @@
         parts.into_iter().max_by_key(|(part, _)| *part).map_or(Loss::InTime, |(_, loss)| loss)
     }
 
-    /// Returns when the job came.
+    /// Returns when the job was accepted, or else when it was first refused.
     #[must_use]
-    pub fn came_at(&self) -> Option<EpochMillis> {
+    pub fn submitted_at(&self) -> Option<EpochMillis> {
         self.accepted_at.or(self.refused_at)
     }
 }
@@ -91,70 +93,71 @@
 /// A stop for urgent work.
 #[derive(Clone, Debug)]
 pub struct Stop {
-    /// The job that it made room for.
+    /// The job that the stop made room for.
     pub beneficiary: String,
-    /// Work thrown away, in thousandths of core-seconds.
+    /// Work lost by the stop, in thousandths of core-seconds.
     pub lost_work: u64,
 }
 
-/// The ways of all jobs.
+/// The histories of all jobs, and the stops for urgent work.
 #[derive(Debug, Default)]
-pub struct Trails {
+pub struct JobHistories {
     /// The jobs, by id.
-    pub jobs: BTreeMap<String, Trail>,
+    pub jobs: BTreeMap<String, JobHistory>,
     /// All stops for urgent work.
     pub stops: Vec<Stop>,
 }
 
-impl Trails {
-    /// Takes in a line.
-    pub fn take_in(&mut self, line: &LogLine<'_>) {
+impl JobHistories {
+    /// Applies a line to the history of its job.
+    pub fn apply(&mut self, line: &LogLine<'_>) {
         match line.event {
-            "J201" => self.take_in_call(line),
-            "J202" => self.take_in_accepted(line),
+            "J201" => self.apply_call(line),
+            "J202" => self.apply_accepted(line),
             "J132" => {
-                if let Some(trail) = self.trail(line.text("job")) {
-                    trail.cancelled = true;
+                if let Some(history) = self.history(line.text("job")) {
+                    history.cancelled = true;
                 }
             }
             "J133" if line.text("status") == Some("Succeeded") => {
-                if let Some(trail) = self.trail(line.text("job")) {
-                    trail.succeeded_at.get_or_insert(line.time);
+                if let Some(history) = self.history(line.text("job")) {
+                    history.succeeded_at.get_or_insert(line.time);
                 }
             }
             "J147" => {
-                if let Some(trail) = self.trail(line.job_of_task()) {
-                    trail.given_up = true;
+                if let Some(history) = self.history(line.job_of_task()) {
+                    history.given_up = true;
                 }
             }
             "J150" => {
-                if let Some(trail) = self.trail(line.job_of_task()) {
-                    trail.first_assigned.get_or_insert(line.time);
-                    trail.last_assigned = Some(line.time);
+                if let Some(history) = self.history(line.job_of_task()) {
+                    history.first_assigned.get_or_insert(line.time);
+                    history.last_assigned = Some(line.time);
                 }
             }
-            "J151" => self.take_in_stop(line),
+            "J151" => self.apply_stop(line),
             "J165" => {
-                if let Some(trail) = self.trail(line.job_of_task()) {
-                    trail.last_ended = Some(line.time);
+                if let Some(history) = self.history(line.job_of_task()) {
+                    history.last_ended = Some(line.time);
                 }
             }
             "J166" => {
-                if let Some(trail) = self.trail(line.job_of_task()) {
-                    trail.first_ordered.get_or_insert(line.time);
-                    trail.last_ordered = Some(line.time);
+                if let Some(history) = self.history(line.job_of_task()) {
+                    history.first_ordered.get_or_insert(line.time);
+                    history.last_ordered = Some(line.time);
                 }
             }
             _ => {}
         }
     }
 
-    /// Returns the trail of a job, which may begin with any line: processes differ in when they write.
-    fn trail(&mut self, job: Option<&str>) -> Option<&mut Trail> {
+    /// Returns the history of a job. Any line may create it, since the processes write their lines at
+    /// different times.
+    fn history(&mut self, job: Option<&str>) -> Option<&mut JobHistory> {
         Some(self.jobs.entry(job?.to_owned()).or_default())
     }
 
-    fn take_in_call(&mut self, line: &LogLine<'_>) {
+    fn apply_call(&mut self, line: &LogLine<'_>) {
         let is_refusal = matches!(line.text("status"), Some("429" | "503" | "504"));
         if line.text("method") != Some("POST") || !is_refusal {
             return;
@@ -162,20 +165,20 @@
         let Some((_, job)) = line.text("path").and_then(|path| path.rsplit_once('/')) else {
             return;
         };
-        let trail = self.jobs.entry(job.to_owned()).or_default();
-        trail.refused_at.get_or_insert(line.time);
+        let history = self.jobs.entry(job.to_owned()).or_default();
+        history.refused_at.get_or_insert(line.time);
     }
 
-    fn take_in_accepted(&mut self, line: &LogLine<'_>) {
+    fn apply_accepted(&mut self, line: &LogLine<'_>) {
         let Some(job) = line.text("job") else { return };
-        let trail = self.jobs.entry(job.to_owned()).or_default();
-        trail.accepted_at.get_or_insert(line.time);
-        line.text("queue").unwrap_or_default().clone_into(&mut trail.queue);
-        trail.estimate_ms = line.number("estimate_ms").unwrap_or_default();
-        trail.objective_ms = line.number("objective_ms").unwrap_or_default();
+        let history = self.jobs.entry(job.to_owned()).or_default();
+        history.accepted_at.get_or_insert(line.time);
+        line.text("queue").unwrap_or_default().clone_into(&mut history.queue);
+        history.estimate_ms = line.number("estimate_ms").unwrap_or_default();
+        history.objective_ms = line.number("objective_ms").unwrap_or_default();
     }
 
-    fn take_in_stop(&mut self, line: &LogLine<'_>) {
+    fn apply_stop(&mut self, line: &LogLine<'_>) {
         let Some(beneficiary) = line.text("for_job") else { return };
         let lost_work = line.number("lost_work").unwrap_or_default();
         self.stops.push(Stop { beneficiary: beneficiary.to_owned(), lost_work });
--- a/crates/rampctl/src/losses/line.rs
+++ b/crates/rampctl/src/losses/line.rs
@@ -5,8 +5,8 @@
 /// Milliseconds since the Unix epoch, by the clock of the process that wrote the line.
 pub type EpochMillis = u64;
 
-/// A line: `time_ms=… level=… node=… event=… text key=value …`. What stands before the time is passed
-/// over, so that lines gathered from many processes can be read.
+/// A line: `time_ms=… level=… node=… event=… text key=value …`. Text before the time is skipped, so
+/// that lines gathered from many processes, which have a prefix, can be read.
 #[derive(Debug, PartialEq, Eq)]
 pub struct LogLine<'a> {
     /// When it was written.
@@ -17,7 +17,7 @@
 }
 
 impl<'a> LogLine<'a> {
-    /// Reads a line; `None` if it isn't one of a process of rampbay.
+    /// Parses a line; returns `None` if it has no time or no event number.
     #[must_use]
     pub fn parse(text: &'a str) -> Option<Self> {
         let start = text.find("time_ms=")?;
@@ -39,7 +39,7 @@
         self.text(name)?.parse().ok()
     }
 
-    /// Returns the job of the field `task`, whose name begins with the job's id.
+    /// Returns the id of the job from the field `task`: a task's name begins with its job's id.
     #[must_use]
     pub fn job_of_task(&self) -> Option<&'a str> {
         self.text("task")?.split('.').next()
--- a/crates/rampctl/src/losses/report.rs
+++ b/crates/rampctl/src/losses/report.rs
@@ -4,34 +4,34 @@
 
 use serde::Serialize;
 
-use super::trail::{Loss, Trail, Trails};
+use super::history::{JobHistories, JobHistory, Loss};
 
 /// Length of one row of the report, in seconds.
 const WINDOW_S: u64 = 10;
-/// Thousandths of a core-second in a core-second.
+/// Milliseconds in a second, and thousandths of a core-second in a core-second.
 const MILLI: u64 = 1000;
 
-/// Jobs of one queue that came within some seconds and fared alike.
+/// Jobs of one queue that were submitted in the same 10 seconds and have the same outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LossRow {
-    /// Seconds from the first job to the row's begin.
+    /// Seconds from the first submission of any job to the start of the window.
     pub from_s: u64,
-    /// Their queue; empty where they were refused.
+    /// The jobs' queue; empty if they were refused.
     pub queue: String,
-    /// Why they were lost or late.
+    /// Why the jobs were lost or late.
     pub loss: Loss,
-    /// Their number.
+    /// Number of jobs.
     pub jobs: usize,
 }
 
-/// Stops for jobs that fared alike.
+/// Stops that made room for jobs with the same outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct StopRow {
-    /// What became of the jobs that the stops made room for.
+    /// Outcome of the jobs that the stops made room for.
     pub beneficiary: Loss,
-    /// The stops.
+    /// Number of stops.
     pub stops: usize,
-    /// Work that they threw away, in core-seconds.
+    /// Work lost by the stops, in core-seconds.
     pub lost_core_s: u64,
 }
 
@@ -45,20 +45,20 @@
 }
 
 impl Report {
-    /// Counts what trails tell.
+    /// Counts the outcomes and the stops in the histories.
     #[must_use]
-    pub fn of(trails: &Trails) -> Self {
-        Self { losses: losses(trails), stops: stops(trails) }
+    pub fn of(histories: &JobHistories) -> Self {
+        Self { losses: losses(histories), stops: stops(histories) }
     }
 }
 
-fn losses(trails: &Trails) -> Vec<LossRow> {
-    let first = trails.jobs.values().filter_map(Trail::came_at).min().unwrap_or(0);
+fn losses(histories: &JobHistories) -> Vec<LossRow> {
+    let first = histories.jobs.values().filter_map(JobHistory::submitted_at).min().unwrap_or(0);
     let mut counts: BTreeMap<(u64, &str, Loss), usize> = BTreeMap::new();
-    for trail in trails.jobs.values() {
-        let Some(came) = trail.came_at() else { continue };
-        let from_s = (came - first) / MILLI / WINDOW_S * WINDOW_S;
-        *counts.entry((from_s, &trail.queue, trail.loss())).or_default() += 1;
+    for history in histories.jobs.values() {
+        let Some(submitted) = history.submitted_at() else { continue };
+        let from_s = (submitted - first) / MILLI / WINDOW_S * WINDOW_S;
+        *counts.entry((from_s, &history.queue, history.loss())).or_default() += 1;
     }
     let rows = counts.into_iter();
     rows.map(|((from_s, queue, loss), jobs)| LossRow {
@@ -70,11 +70,11 @@
     .collect()
 }
 
-fn stops(trails: &Trails) -> Vec<StopRow> {
+fn stops(histories: &JobHistories) -> Vec<StopRow> {
     let mut counts: BTreeMap<Loss, (usize, u64)> = BTreeMap::new();
-    for stop in &trails.stops {
-        let beneficiary = trails.jobs.get(&stop.beneficiary);
-        let loss = beneficiary.map_or(Loss::NotEnded, Trail::loss);
+    for stop in &histories.stops {
+        let beneficiary = histories.jobs.get(&stop.beneficiary);
+        let loss = beneficiary.map_or(Loss::NotEnded, JobHistory::loss);
         let (stops, lost) = counts.entry(loss).or_default();
         *stops += 1;
         *lost += stop.lost_work;
--- a/crates/rampctl/tests/losses.rs
+++ b/crates/rampctl/tests/losses.rs
@@ -1,17 +1,17 @@
-//! What is told of losses, from lines as processes write them.
+//! Outcomes of jobs and their counts, from log lines as the processes write them.
 
-use rampctl::losses::{LogLine, Loss, Report, StopRow, Trails};
+use rampctl::losses::{JobHistories, LogLine, Loss, Report, StopRow};
 use rstest::rstest;
 
 const ACCEPTED: &str = "time_ms=1000 level=INFO node=e event=J202 job accepted job=aa config=1 queue=q workspace=w priority=0 steps=1x1 estimate_ms=2000 objective_ms=3000";
 
 const GIVEN_UP: &str = "time_ms=9000 level=WARN node=e event=J147 task given up, its workers crash under it task=aa.0.0.0 losses=3 proofs=2 at=[\"s-1\"]";
 
-fn trails(lines: &[&str]) -> Trails {
-    let mut trails = Trails::default();
+fn histories(lines: &[&str]) -> JobHistories {
+    let mut histories = JobHistories::default();
     let parsed = lines.iter().filter_map(|line| LogLine::parse(line));
-    parsed.for_each(|line| trails.take_in(&line));
-    trails
+    parsed.for_each(|line| histories.apply(&line));
+    histories
 }
 
 /// Writes the lines of a job's run: assigned, ordered, ended and settled at these times.
@@ -35,7 +35,7 @@
 fn loss_of_job(#[case] run: Vec<String>, #[case] expected: Loss) {
     let lines: Vec<&str> =
         std::iter::once(ACCEPTED).chain(run.iter().map(String::as_str)).collect();
-    assert_eq!(trails(&lines).jobs["aa"].loss(), expected);
+    assert_eq!(histories(&lines).jobs["aa"].loss(), expected);
 }
 
 #[test]
@@ -45,12 +45,13 @@
     let lines: Vec<&str> = std::iter::once(ACCEPTED)
         .chain(first[..3].iter().chain(&second).map(String::as_str))
         .collect();
-    assert_eq!(trails(&lines).jobs["aa"].loss(), Loss::RanAgain);
+    assert_eq!(histories(&lines).jobs["aa"].loss(), Loss::RanAgain);
 }
 
-/// The leader reads a job out of the store, and may assign it before the entry that accepted it says so.
+/// The leader reads a job from the store, and may log its assignment before the entry logs its
+/// acceptance.
 #[test]
-fn loss_of_job_assigned_before_its_acceptance_is_told() {
+fn loss_of_job_assigned_before_its_acceptance_is_logged() {
     const BASE: u64 = 1_700_000_000_000;
     let accepted = ACCEPTED.replace("time_ms=1000", &format!("time_ms={}", BASE + 1000));
     let run = run(BASE + 990, BASE + 1010, BASE + 8000, BASE + 8010);
@@ -58,15 +59,15 @@
         .chain([accepted.as_str()])
         .chain(run[1..].iter().map(String::as_str))
         .collect();
-    assert_eq!(trails(&lines).jobs["aa"].loss(), Loss::RanLong);
+    assert_eq!(histories(&lines).jobs["aa"].loss(), Loss::RanLong);
 }
 
-/// Runs of a job whose acceptance stands in no log say nothing of when it came.
+/// A job whose log lines include neither its acceptance nor a refusal has no known time of submission.
 #[test]
-fn report_leaves_out_jobs_that_never_came() {
+fn report_leaves_out_jobs_without_acceptance_or_refusal() {
     let run = run(900, 950, 2950, 2960);
     let lines: Vec<&str> = run.iter().map(String::as_str).collect();
-    assert_eq!(Report::of(&trails(&lines)), Report::default());
+    assert_eq!(Report::of(&histories(&lines)), Report::default());
 }
 
 #[rstest]
@@ -77,10 +78,11 @@
         format!("time_ms=900 event=J201 call answered method=POST path=/q/aa status={status}");
     let lines: Vec<&str> =
         std::iter::once(refused.as_str()).chain(accepted.then_some(ACCEPTED)).collect();
-    assert_eq!(trails(&lines).jobs["aa"].loss(), expected);
+    assert_eq!(histories(&lines).jobs["aa"].loss(), expected);
 }
 
-/// Lines gathered from several processes carry something in front; others aren't ours.
+/// Lines gathered from several processes have a prefix; lines without a time or an event number are
+/// skipped.
 #[rstest]
 #[case::gathered("  1.0 edge-1 time_ms=5 level=INFO event=J1 x y=2", Some(5))]
 #[case::foreign("worth 0.5 of all", None)]
@@ -95,7 +97,7 @@
     let run = run(1010, 1020, 3020, 3030);
     let lines: Vec<&str> =
         [ACCEPTED, stop, stop].into_iter().chain(run.iter().map(String::as_str)).collect();
-    let report = Report::of(&trails(&lines));
+    let report = Report::of(&histories(&lines));
     let row = StopRow { beneficiary: Loss::InTime, stops: 2, lost_core_s: 5 };
     assert_eq!(report.stops, vec![row]);
     insta::assert_snapshot!(rampctl::grids::losses(&report));
