--- a/crates/rampbay-spec/src/dispatch.rs
+++ b/crates/rampbay-spec/src/dispatch.rs
@@ -1,8 +1,8 @@
 //! Dispatch, cancel, tombstone and retry with a side process that restarts.
 //!
-//! One job that may run at most once, one entry, one side process that may restart once. The
-//! network is a set from which messages are never removed: each may be delivered late, more than
-//! once, or never.
+//! There are one job that may run at most once, one entry, and one side process that may restart
+//! once. The network is a set from which messages are never removed: each message may be delivered
+//! late, more than once, or never.
 
 use std::collections::BTreeSet;
 
@@ -11,20 +11,21 @@
 /// The protocol, or a wrong variant of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Variant {
-    /// As it is built.
-    Right,
+    /// The protocol as it is implemented.
+    Correct,
     /// A cancel of an unknown attempt leaves nothing behind.
     NoTombstone,
-    /// A dispatch is taken by any incarnation.
+    /// A side process accepts a dispatch that was meant for another incarnation.
     AnyIncarnation,
-    /// The entry takes another incarnation's word for the one that it sent to.
+    /// The entry accepts a refusal or a tombstone as proof although it comes from an incarnation other
+    /// than the one that the attempt was sent to.
     TrustsOtherIncarnation,
-    /// The entry says "not run" when it has waited long enough.
-    NotRunBySilence,
-    /// A doubled dispatch starts again.
+    /// After a wait, the entry settles a cancelled request as not run without an answer that proves it.
+    NotRunWithoutProof,
+    /// A duplicated dispatch starts the attempt again.
     NoMemoryOfAttempts,
-    /// The entry retries work that may have run.
-    RetriesUnproved,
+    /// The entry retries a cancelled attempt that may have run.
+    RetriesWithoutProof,
 }
 
 type Attempt = u8;
@@ -53,7 +54,7 @@
     Answered {
         attempt: Attempt,
     },
-    /// The side process's report of itself.
+    /// The side process's report that an incarnation runs.
     Alive(Incarnation),
 }
 
@@ -67,12 +68,12 @@
 /// A state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The attempt on its way, and the incarnation that it was sent to.
+    /// The attempt that has no result yet, and the incarnation that it was sent to.
     sent: Option<(Attempt, Incarnation)>,
     cancelled: bool,
     attempts: Attempt,
-    /// The incarnation that the entry has heard of.
-    heard: Incarnation,
+    /// The latest incarnation that the entry knows of.
+    known_incarnation: Incarnation,
     outcome: Option<Outcome>,
     incarnation: Incarnation,
     leaving: bool,
@@ -143,7 +144,8 @@
             return next;
         }
         if state.leaving {
-            // The refusal is a proof, so that it must leave a tombstone too.
+            // The entry takes the refusal as proof that the attempt won't start, so the refusal must
+            // leave a tombstone too.
             if self.variant != Variant::NoTombstone {
                 next.tombstones.insert(attempt);
             }
@@ -173,7 +175,7 @@
         }
         for message in &state.network {
             if let Message::Alive(incarnation) = *message
-                && incarnation > state.heard
+                && incarnation > state.known_incarnation
             {
                 steps.push(self.on_restart(state, incarnation));
             }
@@ -183,9 +185,10 @@
                 if state.attempts < ATTEMPTS {
                     let mut next = state.clone();
                     next.attempts += 1;
-                    next.sent = Some((next.attempts, next.heard));
+                    next.sent = Some((next.attempts, next.known_incarnation));
                     next.cancelled = false;
-                    let dispatch = Message::Dispatch { attempt: next.attempts, to: next.heard };
+                    let dispatch =
+                        Message::Dispatch { attempt: next.attempts, to: next.known_incarnation };
                     next.network.insert(dispatch);
                     steps.push(next);
                 }
@@ -229,10 +232,10 @@
         }
         if state.cancelled {
             steps.push(settled(Outcome::Unknown));
-            if self.variant == Variant::NotRunBySilence {
+            if self.variant == Variant::NotRunWithoutProof {
                 steps.push(settled(Outcome::NotRun));
             }
-            if self.variant == Variant::RetriesUnproved {
+            if self.variant == Variant::RetriesWithoutProof {
                 let mut retry = state.clone();
                 retry.sent = None;
                 steps.push(retry);
@@ -241,10 +244,11 @@
         steps
     }
 
-    /// The attempt was meant for an incarnation that is gone: what became of it isn't known.
+    /// Handles a restart: an open attempt was meant for an incarnation that is gone, so its outcome
+    /// is unknown.
     fn on_restart(&self, state: &State, incarnation: Incarnation) -> State {
         let mut next = state.clone();
-        next.heard = incarnation;
+        next.known_incarnation = incarnation;
         if next.sent.is_some() {
             next.sent = None;
             next.outcome = Some(Outcome::Unknown);
@@ -256,12 +260,12 @@
 impl Spec for Dispatch {
     type State = State;
 
-    fn first(&self) -> State {
+    fn initial(&self) -> State {
         State {
             sent: None,
             cancelled: false,
             attempts: 0,
-            heard: 1,
+            known_incarnation: 1,
             outcome: None,
             incarnation: 1,
             leaving: false,
@@ -279,7 +283,7 @@
         steps
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
+    fn violation(&self, state: &State) -> Option<&'static str> {
         if state.starts > 1 {
             return Some("work that may run at most once was started twice");
         }
--- a/crates/rampbay-spec/src/gang.rs
+++ b/crates/rampbay-spec/src/gang.rs
@@ -1,8 +1,8 @@
-//! Hold, commit and open of a gang: two planners, two workers with one device each.
+//! Hold, commit and open of a gang, with two planners and two workers with one device each.
 //!
-//! Both planners want both devices. Messages may be lost (they just stay undelivered), delayed
-//! and doubled (the network is a set from which messages are never removed). Holds and leases may
-//! lapse at any time; a planner may pause at any step, since every step is optional.
+//! Both planners need both devices. Messages may be lost (they stay undelivered), delayed and
+//! duplicated (the network is a set from which messages are never removed). Holds and leases may
+//! expire at any time; a planner may pause at any step, since every step is optional.
 
 use std::collections::BTreeSet;
 
@@ -11,19 +11,19 @@
 /// The protocol, or a wrong variant of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Variant {
-    /// As it is built.
-    Right,
-    /// Gates are opened when the first commit is acknowledged.
+    /// The protocol as it is implemented.
+    Correct,
+    /// A planner opens the gang when the first commit is acknowledged.
     OpensEarly,
-    /// A worker takes a hold whatever tokens it has seen.
+    /// A worker grants a hold even if it has granted the same or a later token before.
     NoFencing,
     /// A worker commits without a hold.
     CommitsWithoutHold,
-    /// A planner goes on to commit when only one part is held.
+    /// A planner commits when only one part is held, and opens when only one is committed.
     CommitsInPart,
 }
 
-/// A planner's number, which is its token as well: the second one's is later.
+/// A planner's number, which is also its token: the second planner's token is the later one.
 type Token = u8;
 type Worker = u8;
 
@@ -74,7 +74,7 @@
     committed_once: [[bool; 2]; 2],
     phases: [Phase; 2],
     network: BTreeSet<Message>,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 /// The specification.
@@ -114,7 +114,7 @@
         let fenced = self.variant != Variant::NoFencing && state.fences[at] >= token && !same;
         if free && !fenced {
             if state.fences[at] > token {
-                state.broken = Some("a hold with an old token was granted after a newer one");
+                state.violation = Some("a hold with an old token was granted after a newer one");
             }
             state.leases[at] = Some(Lease::Held(token));
             state.fences[at] = state.fences[at].max(token);
@@ -127,10 +127,10 @@
     fn on_commit(&self, state: &mut State, token: Token, worker: Worker) {
         let at = usize::from(worker);
         let held = state.leases[at] == Some(Lease::Held(token));
-        let without = self.variant == Variant::CommitsWithoutHold;
-        if held || without {
+        let needs_no_hold = self.variant == Variant::CommitsWithoutHold;
+        if held || needs_no_hold {
             if state.leases[at].is_some_and(|lease| lease.token() != token) {
-                state.broken = Some("a device was taken from another gang");
+                state.violation = Some("a device was taken from another gang");
             }
             state.leases[at] = Some(Lease::Committed(token));
             state.committed_once[usize::from(token) - 1][at] = true;
@@ -140,7 +140,7 @@
 
     fn planner_steps(&self, state: &State, token: Token) -> Vec<State> {
         let at = usize::from(token) - 1;
-        let sent = |make: fn(Token, Worker) -> Message, phase| {
+        let send_to_all = |make: fn(Token, Worker) -> Message, phase| {
             let mut next = state.clone();
             next.phases[at] = phase;
             next.network.extend(WORKERS.map(|worker| make(token, worker)));
@@ -150,9 +150,9 @@
             WORKERS.map(|worker| state.network.contains(&make(token, worker)))
         };
         match state.phases[at] {
-            Phase::Idle => vec![sent(Message::Hold, Phase::Holding)],
+            Phase::Idle => vec![send_to_all(Message::Hold, Phase::Holding)],
             Phase::Holding => {
-                let mut steps = vec![sent(Message::Release, Phase::GaveUp)];
+                let mut steps = vec![send_to_all(Message::Release, Phase::GaveUp)];
                 let held = has(Message::Held);
                 let refused = has(Message::Refused) != [false, false];
                 let enough = match self.variant {
@@ -160,23 +160,23 @@
                     _ => held == [true, true] && !refused,
                 };
                 if enough {
-                    steps.push(sent(Message::Commit, Phase::Committing));
+                    steps.push(send_to_all(Message::Commit, Phase::Committing));
                 }
                 steps
             }
             Phase::Committing => {
-                let mut steps = vec![sent(Message::Release, Phase::GaveUp)];
+                let mut steps = vec![send_to_all(Message::Release, Phase::GaveUp)];
                 let committed = has(Message::Committed);
                 let enough = match self.variant {
                     Variant::OpensEarly | Variant::CommitsInPart => committed != [false, false],
                     _ => committed == [true, true],
                 };
                 if enough {
-                    steps.push(sent(Message::Open, Phase::Opened));
+                    steps.push(send_to_all(Message::Open, Phase::Opened));
                 }
                 steps
             }
-            Phase::Opened => vec![sent(Message::Release, Phase::GaveUp)],
+            Phase::Opened => vec![send_to_all(Message::Release, Phase::GaveUp)],
             Phase::GaveUp => Vec::new(),
         }
     }
@@ -189,21 +189,21 @@
     }
     state.leases[at] = Some(Lease::Running(token));
     if state.committed_once[usize::from(token) - 1] != [true, true] {
-        state.broken = Some("a gang's task ran although a part was never committed");
+        state.violation = Some("a gang's task ran although a part was never committed");
     }
 }
 
 impl Spec for Gang {
     type State = State;
 
-    fn first(&self) -> State {
+    fn initial(&self) -> State {
         State {
             leases: [None; 2],
             fences: [0; 2],
             committed_once: [[false; 2]; 2],
             phases: [Phase::Idle; 2],
             network: BTreeSet::new(),
-            broken: None,
+            violation: None,
         }
     }
 
@@ -215,16 +215,16 @@
         }
         for at in 0..2 {
             if state.leases[at].is_some() {
-                let mut lapsed = state.clone();
-                lapsed.leases[at] = None;
-                steps.push(lapsed);
+                let mut expired = state.clone();
+                expired.leases[at] = None;
+                steps.push(expired);
             }
         }
         steps.retain(|next| next != state);
         steps
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
-        state.broken
+    fn violation(&self, state: &State) -> Option<&'static str> {
+        state.violation
     }
 }
--- a/crates/rampbay-spec/src/search.rs
+++ b/crates/rampbay-spec/src/search.rs
@@ -9,33 +9,33 @@
     /// A state of the whole system.
     type State: Clone + Eq + Hash;
 
-    /// Returns the first state.
-    fn first(&self) -> Self::State;
+    /// Returns the initial state.
+    fn initial(&self) -> Self::State;
 
     /// Returns every state that one step leads to.
     fn next(&self, state: &Self::State) -> Vec<Self::State>;
 
-    /// Returns which promise a state breaks, if it breaks one.
-    fn broken(&self, state: &Self::State) -> Option<&'static str>;
+    /// Returns the invariant that a state violates, if any.
+    fn violation(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Found {
-    /// States that were looked at.
+pub struct SearchResult {
+    /// Number of states that were checked.
     pub states: usize,
-    /// The first promise that was found broken.
+    /// The first violation that was found.
     pub violation: Option<&'static str>,
 }
 
-/// Looks at every state that can be reached, nearest first, until one breaks a promise.
-pub fn explore<S: Spec>(spec: &S) -> Found {
+/// Checks every state that can be reached, in breadth-first order, until one violates an invariant.
+pub fn explore<S: Spec>(spec: &S) -> SearchResult {
     let mut states = 0;
-    for state in bfs_reach(spec.first(), |state| spec.next(state)) {
+    for state in bfs_reach(spec.initial(), |state| spec.next(state)) {
         states += 1;
-        if let Some(violation) = spec.broken(&state) {
-            return Found { states, violation: Some(violation) };
+        if let Some(violation) = spec.violation(&state) {
+            return SearchResult { states, violation: Some(violation) };
         }
     }
-    Found { states, violation: None }
+    SearchResult { states, violation: None }
 }
--- a/crates/rampbay-spec/src/table.rs
+++ b/crates/rampbay-spec/src/table.rs
@@ -1,5 +1,5 @@
-//! The table's acceptance: two operators race on one row, answers are lost, retention takes
-//! records, a reader restarts and takes the table from a snapshot or a peer.
+//! Acceptance of edits of the table: two operators race on one row, answers are lost, retention
+//! removes records, and a reader restarts and takes the table from a snapshot or a peer.
 
 use std::collections::BTreeSet;
 
@@ -8,15 +8,15 @@
 /// The protocol, or a wrong variant of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Variant {
-    /// As it is built.
-    Right,
+    /// The protocol as it is implemented.
+    Correct,
     /// An edit is accepted whatever version it was based on.
     IgnoresBase,
     /// A publisher whose answer is lost appends again under a new id, based on the new version.
-    AppendsBlindly,
-    /// A doubled record counts again.
-    CountsDoubled,
-    /// A reader takes a peer's table although it is older.
+    AppendsUnderNewId,
+    /// A reader folds a duplicated record again.
+    CountsDuplicates,
+    /// A reader takes a peer's table even if that table is older than its own.
     TakesOlder,
     /// A reader that starts in the middle of the log doesn't wait for a snapshot.
     SkipsMissing,
@@ -27,16 +27,16 @@
 pub enum Record {
     /// An edit by a publisher, based on a version of the row.
     Edit {
-        /// The edit's id; a doubled append has the same.
+        /// The edit's id; a duplicated append has the same id.
         id: u8,
-        /// What it sets the row to.
+        /// The value that the edit sets the row to.
         value: u8,
-        /// The version of the row that it is based on.
+        /// The version of the row that the edit is based on.
         base: u8,
     },
     /// The table after all records before `upto`.
     Snapshot {
-        /// Records that it includes.
+        /// Number of records that the snapshot includes.
         upto: u8,
         /// The table.
         table: Table,
@@ -46,24 +46,24 @@
 /// A table with one row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Table {
-    /// Accepted edits.
+    /// Number of accepted edits.
     pub version: u8,
     /// The version at which the row was last changed; 0 while there is no row.
     pub row: u8,
     /// The row's value.
     pub value: u8,
-    /// Edits that were seen, as bits.
+    /// Edits that were seen, as a bit set by id.
     pub seen: u8,
 }
 
 /// A reader of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Reader {
-    /// Records folded.
+    /// Number of records that were folded.
     pub upto: u8,
-    /// Its table.
+    /// The reader's table.
     pub table: Table,
-    /// The highest version that it ever served.
+    /// The highest version that the reader has served since its start.
     served: u8,
     restarted: bool,
 }
@@ -73,18 +73,18 @@
 pub struct State {
     /// Every record ever appended.
     pub log: Vec<Record>,
-    /// Records that retention has taken.
+    /// Number of records that retention has removed.
     pub oldest: u8,
     /// The readers.
     pub readers: [Reader; 2],
     published: BTreeSet<u8>,
-    doubled: bool,
-    blind: bool,
+    duplicated: bool,
+    appended_under_new_id: bool,
     snapshots: u8,
-    went_back: bool,
+    version_decreased: bool,
 }
 
-/// Two operators set the row, the third removes it.
+/// Publishers 1 and 2 set the row, publisher 3 removes it.
 const PUBLISHERS: [u8; 3] = [1, 2, REMOVER];
 const REMOVER: u8 = 3;
 const REMOVED: u8 = 0;
@@ -106,8 +106,8 @@
     /// Folds one edit.
     #[must_use]
     pub fn fold(&self, mut table: Table, id: u8, value: u8, base: u8) -> Table {
-        let doubled = table.seen & (1 << id) != 0;
-        if doubled && self.variant != Variant::CountsDoubled {
+        let duplicated = table.seen & (1 << id) != 0;
+        if duplicated && self.variant != Variant::CountsDuplicates {
             return table;
         }
         table.seen |= 1 << id;
@@ -126,7 +126,8 @@
             return None;
         }
         if reader.upto < state.oldest {
-            // Records are missing: only a snapshot that is kept helps.
+            // Retention has removed the next record: the reader can only go on from a snapshot that
+            // is still in the log.
             let kept = &state.log[usize::from(state.oldest)..];
             let snapshot = kept.iter().find_map(|record| match record {
                 Record::Snapshot { upto, table } if *upto >= state.oldest => Some((*upto, *table)),
@@ -151,7 +152,7 @@
         if state.log.len() >= MAX_LOG {
             return steps;
         }
-        // A publisher edits what one of the readers shows.
+        // A publisher bases its edit on the row that one of the readers shows.
         if !state.published.contains(&publisher) {
             for reader in &state.readers {
                 let base = reader.table.row;
@@ -165,22 +166,22 @@
                 steps.push(next);
             }
         } else {
-            // The append went through twice: a proxy's, not the publisher's doing.
-            if !state.doubled {
+            // The append is duplicated by a proxy, not by the publisher.
+            if !state.duplicated {
                 let first = state
                     .log
                     .iter()
                     .find(|record| matches!(record, Record::Edit { id, .. } if *id == publisher));
                 if let Some(record) = first {
                     let mut next = state.clone();
-                    next.doubled = true;
+                    next.duplicated = true;
                     next.log.push(*record);
                     steps.push(next);
                 }
             }
-            if self.variant == Variant::AppendsBlindly && !state.blind {
+            if self.variant == Variant::AppendsUnderNewId && !state.appended_under_new_id {
                 let mut next = state.clone();
-                next.blind = true;
+                next.appended_under_new_id = true;
                 let base = state.readers[0].table.row;
                 next.log.push(Record::Edit { id: publisher + REMOVER, value: publisher, base });
                 steps.push(next);
@@ -191,8 +192,8 @@
 }
 
 impl TableSpec {
-    /// Folds the whole log and sees whether two edits that were based on the same version of the
-    /// row, by two operators, both came into force one right after the other.
+    /// Folds the whole log and returns whether two edits with different ids that were based on the
+    /// same version of the row were accepted one right after the other.
     fn both_accepted(&self, state: &State) -> bool {
         let mut table = Table::default();
         let mut last_accepted: Option<(u8, u8)> = None;
@@ -215,7 +216,7 @@
 fn serve(mut state: State, at: usize) -> State {
     let reader = &mut state.readers[at];
     if reader.table.version < reader.served {
-        state.went_back = true;
+        state.version_decreased = true;
     }
     reader.served = reader.served.max(reader.table.version);
     state
@@ -224,16 +225,16 @@
 impl Spec for TableSpec {
     type State = State;
 
-    fn first(&self) -> State {
+    fn initial(&self) -> State {
         State {
             log: Vec::new(),
             oldest: 0,
             readers: [Reader::default(); 2],
             published: BTreeSet::new(),
-            doubled: false,
-            blind: false,
+            duplicated: false,
+            appended_under_new_id: false,
             snapshots: 0,
-            went_back: false,
+            version_decreased: false,
         }
     }
 
@@ -245,20 +246,20 @@
         for at in 0..2 {
             steps.extend(self.read(state, at));
             let reader = state.readers[at];
-            // Someone writes a snapshot; two may.
+            // Any reader with a table may write a snapshot; at most two are written.
             if reader.table.version > 0 && state.snapshots < 2 && state.log.len() < MAX_LOG {
                 let mut next = state.clone();
                 next.snapshots += 1;
                 next.log.push(Record::Snapshot { upto: reader.upto, table: reader.table });
                 steps.push(next);
             }
-            // The process restarts with nothing; what it serves is judged anew.
+            // The process restarts with an empty table, and its highest served version is reset.
             if !reader.restarted {
                 let mut next = state.clone();
                 next.readers[at] = Reader { restarted: true, ..Reader::default() };
                 steps.push(next);
             }
-            // While the log is down it takes its peer's table.
+            // While the log is down, a reader takes its peer's table.
             let peer = state.readers[1 - at];
             if peer.table.version > reader.table.version || self.variant == Variant::TakesOlder {
                 let mut next = state.clone();
@@ -276,8 +277,8 @@
         steps
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
-        if state.went_back {
+    fn violation(&self, state: &State) -> Option<&'static str> {
+        if state.version_decreased {
             return Some("a process went back to an older version");
         }
         let [a, b] = state.readers;
--- a/crates/rampbay-spec/tests/implementation.rs
+++ b/crates/rampbay-spec/tests/implementation.rs
@@ -1,4 +1,5 @@
-//! The implementation against the promises of the specifications, over generated sequences.
+//! The implementation against the invariants of the specifications, over generated
+//! sequences of steps.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -25,7 +26,8 @@
     state::{Applied, TableState},
 };
 
-/// The same cases in every run; `RAMPBAY_SEED` and `RAMPBAY_CASES` draw others.
+/// Returns a configuration with the same cases in every run; `RAMPBAY_SEED` selects other cases, and
+/// `RAMPBAY_CASES` multiplies their number.
 fn config(cases: u32) -> ProptestConfig {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let seed = number("RAMPBAY_SEED").unwrap_or(1);
@@ -43,7 +45,7 @@
     Submit { repeatable: bool, deadline_ms: u64 },
     Cancel(usize),
     Deliver(usize),
-    Double(usize),
+    Duplicate(usize),
     Drop(usize),
     Finish(usize, u8),
     Restart(usize),
@@ -58,7 +60,7 @@
             .prop_map(|(repeatable, deadline_ms)| Step::Submit { repeatable, deadline_ms }),
         1 => any::<usize>().prop_map(Step::Cancel),
         12 => any::<usize>().prop_map(Step::Deliver),
-        2 => any::<usize>().prop_map(Step::Double),
+        2 => any::<usize>().prop_map(Step::Duplicate),
         2 => any::<usize>().prop_map(Step::Drop),
         4 => (any::<usize>(), 0..4u8).prop_map(|(at, how)| Step::Finish(at, how)),
         1 => (0..SIDES).prop_map(Step::Restart),
@@ -81,7 +83,7 @@
     Load(usize, Load),
 }
 
-struct World {
+struct Simulation {
     dispatcher: Dispatcher,
     registers: Vec<Register>,
     next_incarnation: Incarnation,
@@ -97,13 +99,13 @@
     format!("side-{at}").into()
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let mut dispatcher = Dispatcher::new(7, "a", Settings::default());
         let listed: Vec<_> = (0..SIDES).map(|at| (side(at), "a".to_owned(), false)).collect();
         dispatcher.listed(&listed, Duration::ZERO);
         let registers = (0..SIDES).map(|at| Register::new(100 + at as u64, 2, 1)).collect();
-        let mut world = Self {
+        let mut simulation = Self {
             dispatcher,
             registers,
             next_incarnation: 200,
@@ -115,11 +117,11 @@
             now: Duration::from_secs(1),
         };
         for at in 0..SIDES {
-            let load = world.registers[at].load();
-            let actions = world.dispatcher.load(&side(at), load, world.now);
-            world.entry(actions);
+            let load = simulation.registers[at].load();
+            let actions = simulation.dispatcher.load(&side(at), load, simulation.now);
+            simulation.entry(actions);
         }
-        world
+        simulation
     }
 
     fn entry(&mut self, actions: Vec<EntryAction>) {
@@ -216,7 +218,7 @@
                 let message = self.network.swap_remove(at % self.network.len());
                 self.deliver(message);
             }
-            Step::Double(at) if !self.network.is_empty() => {
+            Step::Duplicate(at) if !self.network.is_empty() => {
                 let message = self.network[at % self.network.len()].clone();
                 self.deliver(message);
             }
@@ -248,7 +250,7 @@
             Step::Wait(millis) => self.wait(millis),
             Step::Cancel(_)
             | Step::Deliver(_)
-            | Step::Double(_)
+            | Step::Duplicate(_)
             | Step::Drop(_)
             | Step::Finish(..) => {}
         }
@@ -286,42 +288,43 @@
     #![proptest_config(config(600))]
 
     #[test]
-    fn request_path_any_faults_keeps_its_promises(steps in steps()) {
-        let mut world = World::new();
+    fn request_path_any_faults_holds_its_invariants(steps in steps()) {
+        let mut simulation = Simulation::new();
         for step in steps {
-            world.step(step);
-            world.check()?;
+            simulation.step(step);
+            simulation.check()?;
         }
-        // Whatever is still under way arrives at last, and more than once.
-        for message in world.network.clone().into_iter().chain(world.network.clone()) {
-            world.deliver(message);
-            world.check()?;
+        // Every message that is still in the network is delivered, and then delivered once more.
+        for message in simulation.network.clone().into_iter().chain(simulation.network.clone()) {
+            simulation.deliver(message);
+            simulation.check()?;
         }
     }
 
     #[test]
     fn request_path_when_faults_end_every_request_is_settled(steps in steps()) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in steps {
-            world.step(step);
+            simulation.step(step);
         }
         for _ in 0..200 {
-            for message in std::mem::take(&mut world.network) {
-                world.deliver(message);
+            for message in std::mem::take(&mut simulation.network) {
+                simulation.deliver(message);
             }
-            while !world.running.is_empty() {
+            while !simulation.running.is_empty() {
                 let answer = Answer { status: 200, body: Bytes::new() };
-                world.finish(0, AttemptResult::Answered(answer));
+                simulation.finish(0, AttemptResult::Answered(answer));
             }
-            world.wait(200);
+            simulation.wait(200);
         }
-        prop_assert!(world.dispatcher.is_idle());
-        prop_assert_eq!(world.outcomes.len(), world.specs.len());
-        world.check()?;
+        prop_assert!(simulation.dispatcher.is_idle());
+        prop_assert_eq!(simulation.outcomes.len(), simulation.specs.len());
+        simulation.check()?;
     }
 }
 
-/// Operators that publish, twice at times, on what one of two readers shows; and retention.
+/// Generates steps as (kind, reader, row): edits based on what one of two readers shows, duplicated
+/// and torn records, snapshots, and readers that take the other's snapshot.
 fn log_steps() -> impl Strategy<Value = Vec<(u8, u8, u8)>> {
     prop::collection::vec((0..6u8, 0..2u8, 0..3u8), 1..60)
 }
@@ -330,7 +333,7 @@
     #![proptest_config(config(300))]
 
     #[test]
-    fn table_any_log_readers_agree_and_never_go_back(steps in log_steps()) {
+    fn table_any_log_readers_agree_and_versions_never_decrease(steps in log_steps()) {
         let mut log: Vec<Vec<u8>> = Vec::new();
         let mut readers = [TableState::default(), TableState::default()];
         let mut served = [0; 2];
@@ -376,7 +379,7 @@
         }
         prop_assert_eq!(readers[0].version(), readers[1].version());
         prop_assert_eq!(readers[0].rows(), readers[1].rows());
-        // A reader that starts late, after retention, comes to the same by a snapshot.
+        // A reader that starts after retention reaches the same table from a snapshot.
         let snapshot = readers[0].snapshot();
         let mut late = TableState::default();
         prop_assert!(late.take(&snapshot) || snapshot.version == 0);
@@ -390,8 +393,9 @@
 }
 
 #[test]
-fn not_run_reasons_are_proofs_of_the_right_incarnation() {
-    // A refusal by another incarnation says nothing about the one that the attempt was meant for.
+fn not_run_from_other_incarnation_proves_nothing() {
+    // A refusal by another incarnation doesn't show whether the one that the attempt was meant for
+    // has started it.
     let mut dispatcher = Dispatcher::new(7, "a", Settings::default());
     dispatcher.listed(&[(side(0), "a".to_owned(), false)], Duration::ZERO);
     let load = Register::new(100, 2, 1).load();
--- a/crates/rampbay-spec/tests/specifications.rs
+++ b/crates/rampbay-spec/tests/specifications.rs
@@ -1,37 +1,38 @@
-//! Every specification over its whole state space, and the wrong variants that it must catch.
+//! Searches the whole state space of every specification, and checks that each wrong variant violates
+//! an invariant.
 
 use rampbay_spec::{
     dispatch::{self, Dispatch},
     gang::{self, Gang},
-    search::{Found, explore},
+    search::{SearchResult, explore},
     table::{self, TableSpec},
 };
 use rstest::rstest;
 
-fn whole(name: &str, found: Found) {
+fn assert_no_violation(name: &str, found: SearchResult) {
     println!("{name}: {} states", found.states);
     assert_eq!(found.violation, None);
 }
 
 #[test]
-fn gang_right_keeps_its_promises() {
-    let found = explore(&Gang::new(gang::Variant::Right));
+fn gang_correct_variant_holds_its_invariants() {
+    let found = explore(&Gang::new(gang::Variant::Correct));
     assert!(found.states > 10_000, "{} states", found.states);
-    whole("gang", found);
+    assert_no_violation("gang", found);
 }
 
 #[test]
-fn dispatch_right_keeps_its_promises() {
-    let found = explore(&Dispatch::new(dispatch::Variant::Right));
+fn dispatch_correct_variant_holds_its_invariants() {
+    let found = explore(&Dispatch::new(dispatch::Variant::Correct));
     assert!(found.states > 1_000, "{} states", found.states);
-    whole("dispatch", found);
+    assert_no_violation("dispatch", found);
 }
 
 #[test]
-fn table_right_keeps_its_promises() {
-    let found = explore(&TableSpec::new(table::Variant::Right));
+fn table_correct_variant_holds_its_invariants() {
+    let found = explore(&TableSpec::new(table::Variant::Correct));
     assert!(found.states > 1_000, "{} states", found.states);
-    whole("table", found);
+    assert_no_violation("table", found);
 }
 
 #[rstest]
@@ -48,9 +49,9 @@
 #[case(dispatch::Variant::NoTombstone)]
 #[case(dispatch::Variant::AnyIncarnation)]
 #[case(dispatch::Variant::TrustsOtherIncarnation)]
-#[case(dispatch::Variant::NotRunBySilence)]
+#[case(dispatch::Variant::NotRunWithoutProof)]
 #[case(dispatch::Variant::NoMemoryOfAttempts)]
-#[case(dispatch::Variant::RetriesUnproved)]
+#[case(dispatch::Variant::RetriesWithoutProof)]
 fn dispatch_wrong_variant_is_caught(#[case] variant: dispatch::Variant) {
     let found = explore(&Dispatch::new(variant));
     assert!(found.violation.is_some(), "{variant:?} passed {} states", found.states);
@@ -58,8 +59,8 @@
 
 #[rstest]
 #[case(table::Variant::IgnoresBase)]
-#[case(table::Variant::AppendsBlindly)]
-#[case(table::Variant::CountsDoubled)]
+#[case(table::Variant::AppendsUnderNewId)]
+#[case(table::Variant::CountsDuplicates)]
 #[case(table::Variant::TakesOlder)]
 #[case(table::Variant::SkipsMissing)]
 fn table_wrong_variant_is_caught(#[case] variant: table::Variant) {
