--- a/crates/rampbay-dispatch/examples/true_refusal.rs
+++ b/crates/rampbay-dispatch/examples/true_refusal.rs
@@ -1,9 +1,9 @@
-//! A refusal that says "not run", and one that can't.
+//! A refusal that proves that an attempt has not run, and one that doesn't.
 //!
 //! `cargo run -p rampbay-dispatch --example true_refusal`
 //!
-//! What to look for: the side process that is leaving refuses what hasn't started and leaves a
-//! tombstone, so that a delayed copy can't start; what runs goes on to its end.
+//! The leaving side process refuses the attempt that hasn't started and leaves a tombstone, so that
+//! a delayed copy of the dispatch can't start; the running attempt goes on to its end.
 
 use std::time::Duration;
 
--- a/crates/rampbay-dispatch/src/dispatcher.rs
+++ b/crates/rampbay-dispatch/src/dispatcher.rs
@@ -2,10 +2,10 @@
 //!
 //! # What makes "not run" true
 //!
-//! A request is settled as [`Outcome::NotRun`] only if no attempt of it was sent, or the very
-//! incarnation that each attempt was meant for has answered that it didn't start it and won't. An
-//! attempt whose side process fell silent or was restarted is never counted as not run. Work that
-//! may be repeated is then tried elsewhere; work that may not ends as [`Outcome::Unknown`].
+//! A request is settled as [`Outcome::NotRun`] only if no attempt of it was sent, or if for each
+//! attempt the incarnation that it was meant for has answered that it didn't start the attempt and
+//! won't. An attempt whose side process sent no more reports or was restarted is never counted as
+//! not run. Repeatable work is then tried elsewhere; other work ends as [`Outcome::Unknown`].
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -36,7 +36,7 @@
     Dispatch(ProcessId, Box<Dispatch>),
     /// Send a cancel to a side process.
     Cancel(ProcessId, Cancel),
-    /// Give the request its outcome; it is forgotten here.
+    /// Give the request its outcome; the dispatcher keeps nothing of the request.
     Settle(JobId, Outcome),
     /// An upstream failed so often that it gets no work for a while.
     Ejected(ProcessId, Duration),
@@ -45,7 +45,7 @@
 /// What the dispatcher needs to know of a workspace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Share of the slots, relative to the other workspaces'.
+    /// Weight of the workspace's share of the slots, relative to the other workspaces.
     pub weight: u32,
     /// Most requests that wait.
     pub queued: u32,
@@ -58,7 +58,7 @@
 pub struct Settings {
     /// A dispatch that isn't acknowledged is sent again after this time.
     pub resend_after: Duration,
-    /// A side process that is silent for longer is given up.
+    /// A side process that sends no report for longer is given up.
     pub give_up_after: Duration,
     /// Most attempts for one request.
     pub max_attempts: u32,
@@ -66,7 +66,7 @@
     pub queue_limit: usize,
     /// Longest wait for a slot of work whose caller set no deadline.
     pub default_deadline: Duration,
-    /// The choice of side processes.
+    /// Settings for the choice of side processes.
     pub sides: SideSettings,
 }
 
@@ -97,16 +97,17 @@
     /// When the dispatch or the cancel was last sent.
     last_sent: Duration,
     acknowledged: bool,
-    /// Set once the attempt is to be stopped, with what is to come of it.
+    /// Set once the attempt is to be cancelled, with what happens to the request then.
     cancel: Option<CancelGoal>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CancelGoal {
-    /// The caller has gone, or its deadline has passed.
-    End,
-    /// The side process is silent; try elsewhere if it proves that nothing ran.
-    Elsewhere,
+    /// End the request: its caller cancelled it, or its deadline has passed.
+    EndRequest,
+    /// Try elsewhere: the side process sends no reports. Work that isn't repeatable is tried again
+    /// only if the side process proves that nothing ran.
+    RetryElsewhere,
 }
 
 #[derive(Debug, Clone)]
@@ -117,14 +118,14 @@
     state: State,
     attempts: u32,
     last_side: Option<ProcessId>,
-    /// Set once an attempt was given up that may have run: the request can't end as not run then.
+    /// Set once an attempt that may have run was given up: the request can't end as not run then.
     may_have_run: Option<Unknown>,
 }
 
 /// Counts of what was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Counts {
-    /// Replies for an attempt that is settled: late, doubled or crossed.
+    /// Replies for an attempt that is already settled: late, duplicated or crossed in transit.
     pub stale_replies: u64,
     /// Attempts after the first.
     pub retries: u64,
@@ -140,7 +141,7 @@
     credit: u64,
 }
 
-/// A workspace always has credit for this many retries.
+/// Retries that a workspace has credit for at first.
 const BUDGET_FLOOR: u64 = 10;
 const BUDGET_CEILING: u64 = 100;
 const RETRY: u64 = 100;
@@ -154,7 +155,7 @@
     requests: HashMap<JobId, Request>,
     queue: FairQueue,
     deadlines: BTreeSet<(Duration, JobId)>,
-    /// Attempts that are on their way, by number, so that the lowest unsettled one is known.
+    /// Attempts without a result, by number, so that the lowest unsettled number is known.
     open: BTreeMap<u64, JobId>,
     sides: SideTable,
     limits: HashMap<WorkspaceId, Limits>,
@@ -185,12 +186,12 @@
         }
     }
 
-    /// Replaces what is known of all workspaces.
+    /// Replaces the limits of all workspaces.
     pub fn set_limits(&mut self, limits: HashMap<WorkspaceId, Limits>) {
         self.limits = limits;
     }
 
-    /// Takes a request in, or says at once why not; nothing of it has run then.
+    /// Queues a request, or refuses it at once, in which case nothing of it has run.
     ///
     /// # Errors
     ///
@@ -242,14 +243,14 @@
         let Some(budget) = self.budgets.get_mut(workspace) else {
             return false;
         };
-        let paid = budget.credit >= RETRY;
-        if paid {
+        let allowed = budget.credit >= RETRY;
+        if allowed {
             budget.credit -= RETRY;
             self.counts.retries += 1;
         } else {
             self.counts.retries_denied += 1;
         }
-        paid
+        allowed
     }
 
     /// Sends queued requests while side processes have room.
@@ -257,7 +258,8 @@
         let mut actions = Vec::new();
         while !self.queue.is_empty() {
             let limits = &self.limits;
-            // The choice comes before the queue is touched, so that a request keeps its place.
+            // The side process is chosen before a request is taken from the queue, so that the
+            // request keeps its place if no side process has capacity.
             let Some(side) = self.sides.choose(&self.failure_domain, None, now, &mut self.rng)
             else {
                 break;
@@ -310,14 +312,14 @@
         self.open.first_key_value().map_or(self.next_attempt, |(number, _)| *number)
     }
 
-    /// Takes in that an attempt was taken in.
+    /// Marks an attempt as acknowledged by its side process.
     pub fn accepted(&mut self, accepted: &Accepted) {
         if let Some(sent) = self.sent_mut(&accepted.job, accepted.attempt, accepted.from) {
             sent.acknowledged = true;
         }
     }
 
-    /// Finds the open attempt that a message speaks of; anything else is stale.
+    /// Returns the open attempt that a message is about; `None` means that the message is stale.
     fn sent_mut(
         &mut self,
         job: &JobId,
@@ -330,14 +332,15 @@
         }
     }
 
-    /// Takes in how an attempt ended.
+    /// Handles the result of an attempt.
     pub fn reply(&mut self, reply: Reply, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
-        // A refusal for another incarnation comes from that other one, and proves nothing about
+        // A refusal as `OtherIncarnation` comes from another incarnation, and proves nothing about
         // the one that the attempt was meant for.
-        let foreign = matches!(reply.result, AttemptResult::NotRun(NotRun::OtherIncarnation));
+        let other_incarnation =
+            matches!(reply.result, AttemptResult::NotRun(NotRun::OtherIncarnation));
         let Some(sent) = self.sent_mut(&reply.job, reply.attempt, reply.from) else {
-            if foreign {
+            if other_incarnation {
                 self.side_restarted(&reply, now, &mut actions);
             } else {
                 self.counts.stale_replies += 1;
@@ -353,13 +356,13 @@
             }
             AttemptResult::NotRun(why) => {
                 if why == NotRun::UpstreamRefused {
-                    self.note_failure(&side, now, &mut actions);
+                    self.record_failure(&side, now, &mut actions);
                 }
                 self.not_run(&reply.job, why, cancel, now, &mut actions);
             }
             AttemptResult::Failed(failure) => {
                 if failure != Failure::Stopped {
-                    self.note_failure(&side, now, &mut actions);
+                    self.record_failure(&side, now, &mut actions);
                 }
                 self.attempt_failed(&reply.job, failure, cancel, now, &mut actions);
             }
@@ -375,14 +378,15 @@
         self.sides.settled(side);
     }
 
-    fn note_failure(&mut self, side: &ProcessId, now: Duration, actions: &mut Vec<Action>) {
+    fn record_failure(&mut self, side: &ProcessId, now: Duration, actions: &mut Vec<Action>) {
         if let Some(pause) = self.sides.failed(side, now) {
             self.counts.ejections += 1;
             actions.push(Action::Ejected(side.clone(), pause));
         }
     }
 
-    /// The attempt provably didn't run: the request goes back to the head of its queue.
+    /// Handles an attempt that provably didn't run: puts the request back at the head of its queue,
+    /// or settles the request if it was cancelled, is past its deadline or had too many attempts.
     fn not_run(
         &mut self,
         job: &JobId,
@@ -394,7 +398,7 @@
         let Some(request) = self.requests.get(job) else {
             return;
         };
-        let ended = cancel == Some(CancelGoal::End) || request.deadline <= now;
+        let ended = cancel == Some(CancelGoal::EndRequest) || request.deadline <= now;
         if ended || request.attempts >= self.settings.max_attempts.saturating_mul(8) {
             self.settle(job, Outcome::NotRun(why), actions);
         } else {
@@ -402,7 +406,7 @@
         }
     }
 
-    /// The attempt ran in part: only repeatable work may go on elsewhere.
+    /// Handles an attempt that may have run in part: only repeatable work may be tried again.
     fn attempt_failed(
         &mut self,
         job: &JobId,
@@ -414,14 +418,14 @@
         let Some(request) = self.requests.get(job) else {
             return;
         };
-        let ended = cancel == Some(CancelGoal::End) || request.deadline <= now;
+        let ended = cancel == Some(CancelGoal::EndRequest) || request.deadline <= now;
         let workspace = request.spec.workspace.clone();
         let may_retry = request.spec.repeatable
             && !ended
             && failure != Failure::TooLarge
             && request.attempts < self.settings.max_attempts;
         if may_retry && self.spend_credit(&workspace) {
-            self.note_may_have_run(job, Unknown::UpstreamFailed);
+            self.record_may_have_run(job, Unknown::UpstreamFailed);
             self.requeue(job);
             return;
         }
@@ -429,7 +433,7 @@
         self.settle(job, Outcome::Unknown(why), actions);
     }
 
-    fn note_may_have_run(&mut self, job: &JobId, why: Unknown) {
+    fn record_may_have_run(&mut self, job: &JobId, why: Unknown) {
         if let Some(request) = self.requests.get_mut(job) {
             request.may_have_run = Some(why);
         }
@@ -463,7 +467,7 @@
         actions.push(Action::Settle(job.clone(), outcome));
     }
 
-    /// Takes in what became of a cancelled attempt.
+    /// Handles a side process's answer to a cancel.
     pub fn cancel_ack(&mut self, ack: &CancelAck, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         let Some(sent) = self.sent_mut(&ack.job, ack.attempt, ack.from) else {
@@ -475,11 +479,12 @@
                 self.close_attempt(&ack.job, &side);
                 self.not_run(&ack.job, NotRun::Cancelled, cancel, now, &mut actions);
             }
-            CancelResult::Started if cancel == Some(CancelGoal::End) => {
+            CancelResult::Started if cancel == Some(CancelGoal::EndRequest) => {
                 self.close_attempt(&ack.job, &side);
                 self.settle(&ack.job, Outcome::Unknown(Unknown::DeadlinePassed), &mut actions);
             }
-            // It speaks again and the work runs there: wait for its answer after all.
+            // The side process can be reached again and the attempt runs there, so the cancel is
+            // withdrawn and the result awaited.
             CancelResult::Started => {
                 sent.cancel = None;
                 sent.acknowledged = true;
@@ -489,7 +494,7 @@
         actions
     }
 
-    /// Ends a request for its caller: nothing of it is to start any more.
+    /// Cancels a request for its caller: nothing of it is to start any more.
     pub fn cancel(&mut self, job: &JobId, now: Duration) -> Vec<Action> {
         self.end(job, NotRun::Cancelled, now)
     }
@@ -503,8 +508,8 @@
         match &mut request.state {
             State::Queued => self.settle(job, Outcome::NotRun(why), &mut actions),
             State::Sent(sent) => {
-                if sent.cancel != Some(CancelGoal::End) {
-                    sent.cancel = Some(CancelGoal::End);
+                if sent.cancel != Some(CancelGoal::EndRequest) {
+                    sent.cancel = Some(CancelGoal::EndRequest);
                     sent.last_sent = now;
                     actions.push(cancel_of(job, sent, settled_below));
                 }
@@ -513,11 +518,11 @@
         actions
     }
 
-    /// Takes in a side process's report.
+    /// Handles a side process's report.
     pub fn load(&mut self, id: &ProcessId, load: Load, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
-        if let Some(earlier) = self.sides.heard(id, load, now) {
-            for job in self.jobs_at(id, earlier) {
+        if let Some(earlier) = self.sides.record_load(id, load, now) {
+            for job in self.jobs_sent_to(id, earlier) {
                 self.give_up(&job, Unknown::SideRestarted, now, &mut actions);
             }
         }
@@ -534,7 +539,7 @@
         }
     }
 
-    fn jobs_at(&self, side: &ProcessId, incarnation: Incarnation) -> Vec<JobId> {
+    fn jobs_sent_to(&self, side: &ProcessId, incarnation: Incarnation) -> Vec<JobId> {
         let at = |request: &Request| match &request.state {
             State::Sent(sent) => sent.side == *side && sent.incarnation == incarnation,
             State::Queued => false,
@@ -543,12 +548,12 @@
         jobs.filter(|job| self.requests.get(*job).is_some_and(at)).cloned().collect()
     }
 
-    /// Gives up an attempt of which nothing more can be learned.
+    /// Gives up an attempt whose result can't be learned any more.
     fn give_up(&mut self, job: &JobId, why: Unknown, now: Duration, actions: &mut Vec<Action>) {
         let Some(Request { state: State::Sent(sent), .. }) = self.requests.get(job) else {
             return;
         };
-        let (side, ended) = (sent.side.clone(), sent.cancel == Some(CancelGoal::End));
+        let (side, ended) = (sent.side.clone(), sent.cancel == Some(CancelGoal::EndRequest));
         self.close_attempt(job, &side);
         let Some(request) = self.requests.get(job) else {
             return;
@@ -559,14 +564,14 @@
             && request.deadline > now
             && request.attempts < self.settings.max_attempts;
         if may_retry && self.spend_credit(&workspace) {
-            self.note_may_have_run(job, why);
+            self.record_may_have_run(job, why);
             self.requeue(job);
         } else {
             self.settle(job, Outcome::Unknown(why), actions);
         }
     }
 
-    /// Takes in the platform's list of side processes.
+    /// Updates the side processes from the platform's list.
     pub fn listed(&mut self, listed: &[(ProcessId, String, bool)], now: Duration) {
         for (id, failure_domain, leaving) in listed {
             self.sides.listed(id, failure_domain, *leaving);
@@ -575,14 +580,14 @@
         self.sides.retain_listed(&ids, now);
     }
 
-    /// Ends what is past its deadline, sends again what isn't acknowledged, and gives up side
-    /// processes that are silent.
+    /// Ends requests that are past their deadline, sends dispatches again that aren't acknowledged,
+    /// and gives up attempts at side processes that send no reports.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         self.end_overdue(now, &mut actions);
         let jobs: Vec<JobId> = self.open.values().cloned().collect();
         for job in jobs {
-            self.watch(&job, now, &mut actions);
+            self.check_attempt(&job, now, &mut actions);
         }
         if !self.queue.is_empty() && !self.sides.any_alive(now) {
             self.refuse_all(NotRun::NoUpstream, &mut actions);
@@ -592,8 +597,8 @@
     }
 
     fn end_overdue(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        // A request that is cancelled keeps its deadline until its attempt is settled; the second
-        // deadline below bounds that.
+        // A request that is cancelled keeps its deadline until its attempt is settled, at the latest
+        // `give_up_after` from its cancel, see `check_attempt`.
         let overdue: Vec<JobId> = self
             .deadlines
             .iter()
@@ -611,7 +616,7 @@
         }
     }
 
-    fn watch(&mut self, job: &JobId, now: Duration, actions: &mut Vec<Action>) {
+    fn check_attempt(&mut self, job: &JobId, now: Duration, actions: &mut Vec<Action>) {
         let settled_below = self.settled_below();
         let Some(request) = self.requests.get_mut(job) else {
             return;
@@ -620,17 +625,18 @@
         let State::Sent(sent) = &mut request.state else {
             return;
         };
-        let heard = self.sides.get(&sent.side).map_or(Duration::ZERO, |row| row.last_contact);
-        let silent = now.saturating_sub(heard) > self.settings.give_up_after;
+        let last_contact =
+            self.sides.get(&sent.side).map_or(Duration::ZERO, |row| row.last_contact);
+        let silent = now.saturating_sub(last_contact) > self.settings.give_up_after;
         let since = now.saturating_sub(sent.last_sent);
         match sent.cancel {
-            // Asked, and no answer: nothing can be proved about it any more.
+            // The cancel wasn't answered: nothing can be proved about the attempt any more.
             Some(_) if since > self.settings.give_up_after => {
                 let why = if silent { Unknown::SideUnreachable } else { Unknown::DeadlinePassed };
                 self.give_up(job, why, now, actions);
             }
             None if silent => {
-                sent.cancel = Some(CancelGoal::Elsewhere);
+                sent.cancel = Some(CancelGoal::RetryElsewhere);
                 sent.last_sent = now;
                 actions.push(cancel_of(job, sent, settled_below));
                 if repeatable {
@@ -647,7 +653,7 @@
         }
     }
 
-    /// Returns the state of a request in a word: `queued`, `sent` or nothing.
+    /// Returns the name of a request's state, `queued` or `sent`, or `None` for an unknown request.
     #[must_use]
     pub fn state_of(&self, job: &str) -> Option<&'static str> {
         Some(match self.requests.get(job)?.state {
@@ -662,7 +668,7 @@
         self.queue.len()
     }
 
-    /// Returns the number of attempts that are on their way.
+    /// Returns the number of attempts without a result.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.open.len()
--- a/crates/rampbay-dispatch/src/fair.rs
+++ b/crates/rampbay-dispatch/src/fair.rs
@@ -1,4 +1,5 @@
-//! Which workspace's request goes next: stride scheduling by weight, urgent before the rest.
+//! Choice of the next request: the most urgent class first, and stride scheduling by weight among the
+//! workspaces of a class.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,10 +8,11 @@
     job::Class,
 };
 
-const STRIDE_ONE: u64 = 1 << 20;
+/// Stride of a workspace with weight 1.
+const UNIT_WEIGHT_STRIDE: u64 = 1 << 20;
 
 #[derive(Debug, Clone, Default)]
-struct Lane {
+struct WorkspaceQueue {
     jobs: VecDeque<JobId>,
     pass: u64,
 }
@@ -27,57 +29,57 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct FairQueue {
-    lanes: BTreeMap<(Class, WorkspaceId), Lane>,
-    clock: BTreeMap<Class, u64>,
+    queues: BTreeMap<(Class, WorkspaceId), WorkspaceQueue>,
+    virtual_time: BTreeMap<Class, u64>,
     len: usize,
 }
 
 impl FairQueue {
-    /// Adds a job behind its workspace's others.
+    /// Adds a job behind the others of its class and workspace.
     pub fn push(&mut self, class: Class, workspace: &WorkspaceId, job: JobId) {
-        self.lane(class, workspace).jobs.push_back(job);
+        self.queue(class, workspace).jobs.push_back(job);
         self.len += 1;
     }
 
-    /// Puts a job back before its workspace's others.
+    /// Puts a job back before the others of its class and workspace.
     pub fn push_front(&mut self, class: Class, workspace: &WorkspaceId, job: JobId) {
-        self.lane(class, workspace).jobs.push_front(job);
+        self.queue(class, workspace).jobs.push_front(job);
         self.len += 1;
     }
 
-    fn lane(&mut self, class: Class, workspace: &WorkspaceId) -> &mut Lane {
-        let clock = self.clock.get(&class).copied().unwrap_or(0);
-        let lane = self.lanes.entry((class, workspace.clone())).or_default();
-        if lane.jobs.is_empty() {
-            // A workspace that was idle has no claim on the past.
-            lane.pass = lane.pass.max(clock);
+    fn queue(&mut self, class: Class, workspace: &WorkspaceId) -> &mut WorkspaceQueue {
+        let virtual_time = self.virtual_time.get(&class).copied().unwrap_or(0);
+        let queue = self.queues.entry((class, workspace.clone())).or_default();
+        if queue.jobs.is_empty() {
+            // A workspace gets no credit for the time in which it had no jobs.
+            queue.pass = queue.pass.max(virtual_time);
         }
-        lane
+        queue
     }
 
-    /// Takes the next job out, given each workspace's weight.
+    /// Removes and returns the next job, given each workspace's weight.
     pub fn pop(&mut self, weight: impl Fn(&WorkspaceId) -> u32) -> Option<JobId> {
-        let ((class, workspace), lane) = self
-            .lanes
+        let ((class, workspace), queue) = self
+            .queues
             .iter_mut()
-            .filter(|(_, lane)| !lane.jobs.is_empty())
-            .min_by_key(|((class, _), lane)| (*class, lane.pass))?;
-        let job = lane.jobs.pop_front()?;
-        self.clock.insert(*class, lane.pass);
-        lane.pass += STRIDE_ONE / u64::from(weight(workspace).max(1));
+            .filter(|(_, queue)| !queue.jobs.is_empty())
+            .min_by_key(|((class, _), queue)| (*class, queue.pass))?;
+        let job = queue.jobs.pop_front()?;
+        self.virtual_time.insert(*class, queue.pass);
+        queue.pass += UNIT_WEIGHT_STRIDE / u64::from(weight(workspace).max(1));
         self.len -= 1;
         Some(job)
     }
 
-    /// Takes one job out, wherever it stands; returns whether it was there.
+    /// Removes a job from any position; returns whether it was queued.
     pub fn remove(&mut self, class: Class, workspace: &WorkspaceId, job: &JobId) -> bool {
-        let Some(lane) = self.lanes.get_mut(&(class, workspace.clone())) else {
+        let Some(queue) = self.queues.get_mut(&(class, workspace.clone())) else {
             return false;
         };
-        let Some(at) = lane.jobs.iter().position(|queued| queued == job) else {
+        let Some(at) = queue.jobs.iter().position(|queued| queued == job) else {
             return false;
         };
-        lane.jobs.remove(at);
+        queue.jobs.remove(at);
         self.len -= 1;
         true
     }
@@ -86,8 +88,9 @@
     #[must_use]
     pub fn waiting(&self, workspace: &WorkspaceId) -> usize {
         let classes = [Class::Urgent, Class::Normal, Class::Batch];
-        let lanes = classes.iter().filter_map(|class| self.lanes.get(&(*class, workspace.clone())));
-        lanes.map(|lane| lane.jobs.len()).sum()
+        let queues =
+            classes.iter().filter_map(|class| self.queues.get(&(*class, workspace.clone())));
+        queues.map(|queue| queue.jobs.len()).sum()
     }
 
     /// Returns the number of jobs.
--- a/crates/rampbay-dispatch/src/lib.rs
+++ b/crates/rampbay-dispatch/src/lib.rs
@@ -1,12 +1,12 @@
 //! The request path as two pure state machines.
 //!
 //! - [`Dispatcher`](dispatcher::Dispatcher) runs in an entry process: it queues requests by
-//!   workspace, chooses an upstream, retries, cancels, and settles each request's outcome once.
+//!   workspace, chooses an upstream, retries, cancels, and gives each request exactly one outcome.
 //! - [`Register`](register::Register) runs in the process beside an upstream: it counts slots,
 //!   starts each attempt at most once, and remembers which attempts must never start.
 //!
 //! Neither does input or output, nor reads a clock: events and the time go in, actions come out.
-//! So the same code runs in the processes, in tests, and against the specification.
+//! So the same code runs in the processes, in tests, and against the specifications.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/rampbay-dispatch/src/message.rs
+++ b/crates/rampbay-dispatch/src/message.rs
@@ -1,4 +1,4 @@
-//! What an entry and a side process tell each other about requests, and how a request ends.
+//! Messages between an entry and a side process about requests, and the outcomes of requests.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 /// One try to run a job; no two attempts of any entry share an id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The incarnation of the entry that made it.
+    /// The incarnation of the entry that made the attempt.
     pub entry: Incarnation,
     /// Counts up from 1 within that incarnation.
     pub number: u64,
@@ -28,13 +28,14 @@
     pub job: JobId,
     /// The attempt.
     pub attempt: AttemptId,
-    /// The workspace that it is for.
+    /// The workspace that the job belongs to.
     pub workspace: WorkspaceId,
-    /// The incarnation of the side process that it is meant for; any other refuses it.
+    /// The incarnation of the side process that the dispatch is meant for; any other refuses it.
     pub to: Incarnation,
-    /// Time after which it must not start any more, from arrival, in milliseconds.
+    /// Time from the dispatch's arrival after which the attempt must not start any more, in
+    /// milliseconds.
     pub start_within_ms: u64,
-    /// Time that the caller still waits, from arrival, in milliseconds.
+    /// Time from the dispatch's arrival for which the caller still waits, in milliseconds.
     pub finish_within_ms: u64,
     /// Every attempt of the sender below this number is settled and must not start.
     pub settled_below: u64,
@@ -43,7 +44,7 @@
 }
 
 impl Dispatch {
-    /// Creates a dispatch with generous times.
+    /// Creates a dispatch of the workspace `default` that may start and finish within a minute.
     #[must_use]
     pub fn new(
         job: impl Into<JobId>,
@@ -65,7 +66,7 @@
     }
 }
 
-/// Asks that an attempt doesn't start, or stops if it has.
+/// Asks a side process not to start an attempt, or to stop it if it has started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cancel {
     /// The job.
@@ -78,12 +79,12 @@
     pub settled_below: u64,
 }
 
-/// What a side process says about a cancelled attempt.
+/// What a side process reports about a cancelled attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CancelResult {
-    /// It has not started here and never will.
+    /// The attempt has not started in this incarnation and never will.
     Tombstoned,
-    /// It had started.
+    /// The attempt had started.
     Started,
 }
 
@@ -94,9 +95,9 @@
     pub job: JobId,
     /// The attempt.
     pub attempt: AttemptId,
-    /// The incarnation that answers; it speaks for no other.
+    /// The incarnation that answers; the answer holds for no other incarnation.
     pub from: Incarnation,
-    /// What became of the attempt here.
+    /// What became of the attempt in this incarnation.
     pub result: CancelResult,
 }
 
@@ -105,9 +106,9 @@
 pub enum AttemptResult {
     /// The upstream's whole answer.
     Answered(Answer),
-    /// Nothing of it reached the upstream, and nothing will.
+    /// Nothing of the attempt reached the upstream, and nothing will.
     NotRun(NotRun),
-    /// It reached the upstream, and how far it ran isn't known.
+    /// The attempt reached the upstream, and how far it ran isn't known.
     Failed(Failure),
 }
 
@@ -129,18 +130,18 @@
     pub attempt: AttemptId,
     /// The incarnation that reports.
     pub from: Incarnation,
-    /// How it ended.
+    /// How the attempt ended.
     pub result: AttemptResult,
 }
 
-/// Says that an attempt was taken in and waits or runs.
+/// Reports that an attempt was accepted and waits or runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
     /// The job.
     pub job: JobId,
     /// The attempt.
     pub attempt: AttemptId,
-    /// The incarnation that took it in.
+    /// The incarnation that accepted the attempt.
     pub from: Incarnation,
 }
 
@@ -149,35 +150,35 @@
 pub struct Load {
     /// The incarnation that reports.
     pub from: Incarnation,
-    /// Slots of its upstream.
+    /// Slots of the side process's upstream.
     pub slots: u32,
     /// Slots in use.
     pub used: u32,
     /// Attempts that wait for a slot.
     pub waiting: u32,
-    /// Whether it takes no new work any more.
+    /// Whether the side process accepts no new work any more.
     pub leaving: bool,
 }
 
-/// Why nothing of a request has run. Safe to send again.
+/// Why nothing of a request has run. The request can safely be sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotRun {
-    /// The side process has no slot and no room to wait.
+    /// The side process has no free slot, and its queue is full.
     Busy,
     /// The upstream is leaving.
     Leaving,
-    /// It was meant for an earlier incarnation of the side process.
+    /// The attempt was meant for another incarnation of the side process.
     OtherIncarnation,
-    /// It was cancelled before it started.
+    /// The request was cancelled before it started.
     Cancelled,
-    /// Its time to start ran out while it waited.
+    /// The request's time to start ran out while it waited.
     Expired,
     /// The upstream refused the connection.
     UpstreamRefused,
     /// The workspace's queue is full.
     QueueFull,
-    /// No upstream is known that takes work.
+    /// No known upstream accepts work.
     NoUpstream,
     /// The entry is stopping.
     Stopping,
@@ -195,7 +196,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Failure {
-    /// The connection broke before the whole answer was there.
+    /// The connection broke before the whole answer was received.
     Cut,
     /// The upstream answered with a server error.
     ServerError,
@@ -203,7 +204,7 @@
     TimedOut,
     /// The answer was larger than is allowed.
     TooLarge,
-    /// It was stopped while it ran.
+    /// The attempt was stopped while it ran.
     Stopped,
 }
 
@@ -215,13 +216,13 @@
     SideUnreachable,
     /// The side process was restarted meanwhile.
     SideRestarted,
-    /// The upstream broke off.
+    /// The attempt reached the upstream and failed there.
     UpstreamFailed,
-    /// The deadline passed while it ran.
+    /// The deadline passed while the request may have been running.
     DeadlinePassed,
     /// Another entry claimed the same job earlier.
     ClaimedElsewhere,
-    /// Its devices were lost while it ran.
+    /// The gang's devices were lost while it ran.
     GangLost,
 }
 
@@ -230,14 +231,14 @@
 pub enum Outcome {
     /// The whole answer.
     Answered(Answer),
-    /// Nothing of it ran; it may be sent again.
+    /// Nothing of the request ran; it may be sent again.
     NotRun(NotRun),
-    /// It may have run.
+    /// The request may have run.
     Unknown(Unknown),
 }
 
 impl Outcome {
-    /// Returns the outcome's word in the callers' interface.
+    /// Returns the outcome's name in the callers' interface.
     #[must_use]
     pub const fn name(&self) -> &'static str {
         match self {
--- a/crates/rampbay-dispatch/src/register.rs
+++ b/crates/rampbay-dispatch/src/register.rs
@@ -6,7 +6,8 @@
 //! - A cancelled attempt that hasn't started leaves a tombstone, so that a delayed dispatch of it
 //!   can't start it later.
 //! - Tombstones need no clock: every message of an entry carries the number below which all its
-//!   attempts are settled. A dispatch below that number is refused, so tombstones below it can go.
+//!   attempts are settled. A dispatch below that number is refused, so tombstones below that number
+//!   are removed.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -20,14 +21,14 @@
     NotRun, Reply,
 };
 
-/// What the side process is to do.
+/// What the side process must do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send the attempt to the upstream; a slot is taken until [`Register::done`].
     Run(Box<Dispatch>),
-    /// Break off an attempt that runs.
+    /// Stop an attempt that runs.
     Abort(AttemptId),
-    /// Tell the entry that the attempt was taken in.
+    /// Tell the entry that the attempt was accepted.
     Accept(ProcessId, Accepted),
     /// Tell the entry how the attempt ended.
     Reply(ProcessId, Reply),
@@ -59,12 +60,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Counts {
     /// Dispatches of an attempt that was already known.
-    pub doubled: u64,
+    pub duplicated: u64,
     /// Dispatches refused for a tombstone or a settled number.
     pub tombstoned: u64,
     /// Dispatches meant for another incarnation.
     pub other_incarnation: u64,
-    /// Dispatches refused for want of room.
+    /// Dispatches refused because all slots were in use and the queue was full.
     pub busy: u64,
     /// Attempts started.
     pub started: u64,
@@ -86,12 +87,12 @@
     counts: Counts,
 }
 
-/// How long a reply is kept for an entry that asks again.
-const KEEP_REPLIES: Duration = Duration::from_secs(30);
-/// Bytes of replies that are kept at most.
-const KEEP_BYTES: usize = 16 * 1024 * 1024;
-/// Entries whose settled numbers are remembered.
-const KEEP_ENTRIES: usize = 4_096;
+/// How long a reply is kept for an entry that sends the dispatch again.
+const KEEP_REPLIES_FOR: Duration = Duration::from_secs(30);
+/// Most bytes of replies that are kept.
+const MAX_KEPT_BYTES: usize = 16 * 1024 * 1024;
+/// Most entries whose settled numbers are remembered.
+const MAX_KNOWN_ENTRIES: usize = 4_096;
 
 impl Register {
     /// Creates a register for an upstream with `slots`, where `queue_limit` attempts may wait.
@@ -112,12 +113,12 @@
         }
     }
 
-    /// Takes in a dispatch.
+    /// Handles a dispatch.
     pub fn dispatch(&mut self, from: ProcessId, dispatch: Dispatch, now: Duration) -> Vec<Action> {
         self.settle_below(dispatch.attempt.entry, dispatch.settled_below, now);
         if let Some(row) = self.attempts.get(&dispatch.attempt) {
-            self.counts.doubled += 1;
-            return self.answer_again(from, &dispatch, row.state.clone());
+            self.counts.duplicated += 1;
+            return self.answer_duplicate(from, &dispatch, row.state.clone());
         }
         if dispatch.to != self.incarnation {
             self.counts.other_incarnation += 1;
@@ -148,8 +149,9 @@
         actions
     }
 
-    /// A refusal that leaves no row: the dispatch never counted here, and can't start later since
-    /// the entry gives each attempt's number only once.
+    /// Refuses a dispatch. A dispatch that was meant for this incarnation leaves a tombstone. One that
+    /// was meant for another leaves no row: it can't start here later, since each copy of it is refused
+    /// too and the entry gives each attempt's number only once.
     fn refuse(&mut self, from: ProcessId, dispatch: &Dispatch, why: NotRun) -> Action {
         let reply = Reply {
             job: dispatch.job.clone(),
@@ -158,8 +160,8 @@
             result: AttemptResult::NotRun(why),
         };
         if dispatch.to == self.incarnation {
-            // The entry takes the refusal for a proof, so that a copy of the dispatch that is
-            // still under way must not start either.
+            // The entry takes the refusal as proof that the attempt won't start, so a copy of the
+            // dispatch that is still on its way must not start either.
             self.insert_tombstone(from.clone(), dispatch.attempt);
         }
         Action::Reply(from, reply)
@@ -173,7 +175,7 @@
         self.attempts.insert(attempt, row);
     }
 
-    fn answer_again(
+    fn answer_duplicate(
         &self,
         from: ProcessId,
         dispatch: &Dispatch,
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Takes in a cancel.
+    /// Handles a cancel.
     pub fn cancel(&mut self, from: ProcessId, cancel: &Cancel, now: Duration) -> Vec<Action> {
         self.settle_below(cancel.attempt.entry, cancel.settled_below, now);
         let attempt = cancel.attempt;
@@ -224,7 +226,7 @@
         actions
     }
 
-    /// Takes in how a running attempt ended; its slot is free.
+    /// Handles the end of a running attempt and frees its slot.
     pub fn done(
         &mut self,
         attempt: AttemptId,
@@ -253,7 +255,8 @@
         actions
     }
 
-    /// Ends the wait of attempts whose time to start has run out, and forgets old replies.
+    /// Refuses waiting attempts whose time to start has run out, starts others in free slots, and
+    /// drops old replies.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         self.expire_waiting(now, &mut actions);
@@ -292,7 +295,7 @@
     }
 
     fn settle_below(&mut self, entry: Incarnation, number: u64, now: Duration) {
-        if self.settled.len() >= KEEP_ENTRIES && !self.settled.contains_key(&entry) {
+        if self.settled.len() >= MAX_KNOWN_ENTRIES && !self.settled.contains_key(&entry) {
             let oldest = self.settled.iter().min_by_key(|(_, (_, at))| *at).map(|(id, _)| *id);
             if let Some(oldest) = oldest {
                 self.settled.remove(&oldest);
@@ -336,11 +339,13 @@
         }
     }
 
-    /// Replaces replies that are old, or too many, by nothing but the fact that they started.
+    /// Replaces replies that are older than `KEEP_REPLIES_FOR`, and the oldest ones while all take
+    /// more than `MAX_KEPT_BYTES`, by a failure without a body, which says only that the attempt
+    /// started.
     fn drop_old_replies(&mut self, now: Duration) {
         while let Some((at, attempt)) = self.done_order.front().copied() {
-            let old = now.saturating_sub(at) > KEEP_REPLIES;
-            if !old && self.kept_bytes <= KEEP_BYTES {
+            let old = now.saturating_sub(at) > KEEP_REPLIES_FOR;
+            if !old && self.kept_bytes <= MAX_KEPT_BYTES {
                 return;
             }
             self.done_order.pop_front();
@@ -351,8 +356,8 @@
                 continue;
             };
             self.kept_bytes -= reply_bytes(reply);
-            // An attempt that ended stays known, so that no copy of it starts again; it goes when
-            // its entry has settled it.
+            // An attempt that ended stays known, so that no copy of it starts again; its row is
+            // removed once its entry has settled the attempt.
             let reply = Reply {
                 job: reply.job.clone(),
                 attempt,
@@ -363,7 +368,7 @@
         }
     }
 
-    /// Takes no new work from now on; what waits is refused as not run, what runs goes on.
+    /// Stops accepting new work: waiting attempts are refused as not run, running ones go on.
     pub fn leave(&mut self) -> Vec<Action> {
         self.leaving = true;
         let waiting = std::mem::take(&mut self.waiting);
--- a/crates/rampbay-dispatch/src/sides.rs
+++ b/crates/rampbay-dispatch/src/sides.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the side processes, and which one gets the next attempt.
+//! What an entry knows about the side processes, and which one gets the next attempt.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,15 +11,15 @@
 /// One side process.
 #[derive(Debug, Clone)]
 pub struct SideRow {
-    /// Its failure domain.
+    /// The side process's failure domain.
     pub failure_domain: String,
-    /// The incarnation that was last heard.
+    /// The incarnation that sent the last report.
     pub incarnation: Option<Incarnation>,
-    /// What it last reported.
+    /// The last report.
     pub load: Option<Load>,
-    /// When it was last heard.
+    /// When the last report arrived.
     pub last_contact: Duration,
-    /// Whether the platform's list says that it leaves.
+    /// Whether the platform's list shows the side process as leaving.
     pub listed_leaving: bool,
     /// Attempts of this entry that have no result yet.
     pub outstanding: u32,
@@ -27,20 +27,20 @@
     sent_since_report: u32,
     failures: u32,
     ejected_until: Duration,
-    /// Most outstanding attempts while it returns from ejection; grows with each success.
+    /// Most outstanding attempts while the upstream returns from ejection; grows with each success.
     ramp: Option<u32>,
 }
 
-/// Times and bounds of the choice.
+/// Times and bounds for the choice of side processes.
 #[derive(Debug, Clone, Copy)]
 pub struct SideSettings {
-    /// A side process that is silent for longer gets no new work.
+    /// A side process that sends no report for longer gets no new work.
     pub silent_after: Duration,
     /// Attempts that may wait at a side process beyond its slots.
     pub queue_beyond_slots: u32,
-    /// Failures in a row that eject it.
+    /// Failures in a row after which an upstream is ejected.
     pub failures_to_eject: u32,
-    /// First ejection; each further one doubles it.
+    /// Length of the first ejection; each further failure in a row doubles it.
     pub eject_for: Duration,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-const LONGEST_EJECTION_DOUBLINGS: u32 = 5;
+const MAX_EJECTION_DOUBLINGS: u32 = 5;
 
 /// Says whether a side process belongs to a group that is preferred over later ones.
 type Tier<'a> = dyn Fn(&str, &SideRow) -> bool + 'a;
@@ -74,7 +74,7 @@
         Self { rows: BTreeMap::new(), settings }
     }
 
-    /// Takes in that the platform lists a side process.
+    /// Adds or updates a side process that the platform lists.
     pub fn listed(&mut self, id: &ProcessId, failure_domain: &str, leaving: bool) {
         let row = self.rows.entry(id.clone()).or_insert_with(|| SideRow {
             failure_domain: failure_domain.to_owned(),
@@ -91,17 +91,23 @@
         row.listed_leaving = leaving;
     }
 
-    /// Forgets side processes that are neither listed nor have work of this entry.
+    /// Removes side processes that are not listed, have no attempts of this entry, and have sent no
+    /// report for [`SideSettings::silent_after`].
     pub fn retain_listed(&mut self, listed: &[ProcessId], now: Duration) {
         let silent_after = self.settings.silent_after;
         self.rows.retain(|id, row| {
-            let speaks = now.saturating_sub(row.last_contact) < silent_after;
-            listed.contains(id) || row.outstanding > 0 || speaks
+            let in_contact = now.saturating_sub(row.last_contact) < silent_after;
+            listed.contains(id) || row.outstanding > 0 || in_contact
         });
     }
 
-    /// Takes in a report; returns the earlier incarnation if there is a new one.
-    pub fn heard(&mut self, id: &ProcessId, load: Load, now: Duration) -> Option<Incarnation> {
+    /// Records a report; returns the earlier incarnation if a new one sent it.
+    pub fn record_load(
+        &mut self,
+        id: &ProcessId,
+        load: Load,
+        now: Duration,
+    ) -> Option<Incarnation> {
         let row = self.rows.get_mut(id)?;
         let earlier = row.incarnation.filter(|earlier| *earlier != load.from);
         if row.incarnation != Some(load.from) {
@@ -126,8 +132,9 @@
         self.rows.iter()
     }
 
-    /// Chooses by the power of two choices among those with room, the entry's own failure domain
-    /// first; `avoid` is taken only if there is no other.
+    /// Chooses by the power of two choices among the side processes with capacity. Those with a free
+    /// slot in the entry's own failure domain come first; `avoid` is chosen only if there is no
+    /// other.
     pub fn choose(
         &self,
         failure_domain: &str,
@@ -135,22 +142,26 @@
         now: Duration,
         rng: &mut ChaCha8Rng,
     ) -> Option<ProcessId> {
-        let open: Vec<_> = self.rows.iter().filter(|(_, row)| self.has_room(row, now)).collect();
+        let available: Vec<_> =
+            self.rows.iter().filter(|(_, row)| self.has_capacity(row, now)).collect();
         let tiers: [&Tier<'_>; 3] = [
-            &|id, row| Some(id) != avoid && row.failure_domain == failure_domain && row.is_light(),
+            &|id, row| {
+                Some(id) != avoid && row.failure_domain == failure_domain && row.has_free_slot()
+            },
             &|id, _| Some(id) != avoid,
             &|_, _| true,
         ];
         tiers.iter().find_map(|tier| {
-            let tier: Vec<_> = open.iter().filter(|(id, row)| tier(id, row)).collect();
+            let tier: Vec<_> = available.iter().filter(|(id, row)| tier(id, row)).collect();
             let first = tier.get(rng.random_range(0..tier.len().max(1)))?;
             let second = tier.get(rng.random_range(0..tier.len().max(1)))?;
-            let better = if second.1.pressure() < first.1.pressure() { second } else { first };
+            let better =
+                if second.1.load_permille() < first.1.load_permille() { second } else { first };
             Some(better.0.clone())
         })
     }
 
-    /// Returns whether any side process could ever take work now, with room or not.
+    /// Returns whether any side process is in contact and not leaving, with capacity or not.
     #[must_use]
     pub fn any_alive(&self, now: Duration) -> bool {
         self.rows.values().any(|row| self.is_alive(row, now))
@@ -158,11 +169,11 @@
 
     fn is_alive(&self, row: &SideRow, now: Duration) -> bool {
         let Some(load) = &row.load else { return false };
-        let speaks = now.saturating_sub(row.last_contact) <= self.settings.silent_after;
-        speaks && !load.leaving && !row.listed_leaving
+        let in_contact = now.saturating_sub(row.last_contact) <= self.settings.silent_after;
+        in_contact && !load.leaving && !row.listed_leaving
     }
 
-    fn has_room(&self, row: &SideRow, now: Duration) -> bool {
+    fn has_capacity(&self, row: &SideRow, now: Duration) -> bool {
         let Some(load) = &row.load else { return false };
         let full = load.slots + self.settings.queue_beyond_slots;
         self.is_alive(row, now)
@@ -179,7 +190,7 @@
         }
     }
 
-    /// Counts an attempt that has its result, or is given up.
+    /// Counts an attempt that has its result or is given up.
     pub fn settled(&mut self, id: &str) {
         if let Some(row) = self.rows.get_mut(id) {
             row.outstanding = row.outstanding.saturating_sub(1);
@@ -189,7 +200,7 @@
         }
     }
 
-    /// Takes in a success: a returning upstream gets more.
+    /// Records a success: an upstream that returns from ejection may get more attempts at a time.
     pub fn succeeded(&mut self, id: &str) {
         let Some(row) = self.rows.get_mut(id) else {
             return;
@@ -199,13 +210,13 @@
         row.ramp = row.ramp.map(|most| most + 1).filter(|most| *most <= slots);
     }
 
-    /// Takes in a failure; returns how long the upstream is ejected, if it is.
+    /// Records a failure; returns how long the upstream is ejected, if it is.
     pub fn failed(&mut self, id: &str, now: Duration) -> Option<Duration> {
         let settings = self.settings;
         let row = self.rows.get_mut(id)?;
         row.failures += 1;
         let beyond = row.failures.checked_sub(settings.failures_to_eject)?;
-        let pause = settings.eject_for * (1 << beyond.min(LONGEST_EJECTION_DOUBLINGS));
+        let pause = settings.eject_for * (1 << beyond.min(MAX_EJECTION_DOUBLINGS));
         row.ejected_until = now + pause;
         row.ramp = Some(1);
         Some(pause)
@@ -213,8 +224,8 @@
 }
 
 impl SideRow {
-    /// Attempts for each slot, as far as this entry can tell.
-    fn pressure(&self) -> u64 {
+    /// Returns the attempts per slot, in thousandths, as far as this entry knows.
+    fn load_permille(&self) -> u64 {
         const SCALE: u64 = 1_000;
         let Some(load) = &self.load else {
             return u64::MAX;
@@ -223,9 +234,9 @@
         busy * SCALE / u64::from(load.slots.max(1))
     }
 
-    /// Whether a slot is free, as far as this entry can tell.
-    fn is_light(&self) -> bool {
+    /// Returns whether a slot is free, as far as this entry knows.
+    fn has_free_slot(&self) -> bool {
         const SCALE: u64 = 1_000;
-        self.pressure() < SCALE
+        self.load_permille() < SCALE
     }
 }
