--- a/crates/rampbay-core/src/fleet.rs
+++ b/crates/rampbay-core/src/fleet.rs
@@ -186,7 +186,7 @@
     ///
     /// Unbound cells must all fit at once into what is free or lent; of a bound cell, what its
     /// owner doesn't use must be free or lent in its place.
-    pub fn short(&self) -> Shape {
+    pub fn missing_cells(&self) -> Shape {
         let missing = self.workers.cells.missing(&self.workspaces.unbound);
         missing.with(Level::Device, self.workers.violated)
     }
--- a/crates/rampbay-core/src/plan.rs
+++ b/crates/rampbay-core/src/plan.rs
@@ -124,7 +124,7 @@
 
     /// Says which failure domains this planner looks after; it plans into the others too, but only
     /// where its own don't do as well. That lowers conflicts, and no promise rests on it.
-    pub fn look_after(&mut self, owns: impl Fn(&str) -> bool) {
+    pub fn prefer_failure_domains(&mut self, owns: impl Fn(&str) -> bool) {
         let names = self.fleet.workers.failure_domain_names();
         let others = names.filter(|(name, _)| !owns(name));
         self.others = others.fold(0, |bits, (_, row)| bits | domain_bit(row));
--- a/crates/rampbay-core/src/plan/place_jobs.rs
+++ b/crates/rampbay-core/src/plan/place_jobs.rs
@@ -285,7 +285,7 @@
         claim: Claim,
         now: Duration,
     ) -> Result<FencingToken, Reason> {
-        let short_before = self.fleet.short();
+        let short_before = self.fleet.missing_cells();
         let borrowed_before = self.fleet.workspaces.rows[demand.workspace].borrowed_devices;
         let removed: Vec<Gang> =
             victims.iter().filter_map(|token| self.fleet.remove(*token)).collect();
@@ -323,7 +323,7 @@
         short_before: Shape,
         borrowed_before: u32,
     ) -> Result<(), Reason> {
-        let short = self.fleet.short();
+        let short = self.fleet.missing_cells();
         if short.devices() > short_before.devices() {
             return Err(Reason::ProtectsGuarantee { short });
         }
--- a/crates/rampbay-core/src/plan/views.rs
+++ b/crates/rampbay-core/src/plan/views.rs
@@ -77,21 +77,21 @@
 
     /// Returns the cells that are missing for all unused guarantees, empty if none is.
     #[must_use]
-    pub fn short(&self) -> Shape {
-        self.fleet.short()
+    pub fn missing_cells(&self) -> Shape {
+        self.fleet.missing_cells()
     }
 
     /// Returns whether a gang that is held, together with all that is known now, leaves a
     /// guarantee that can't be reclaimed, and would not if it were given up.
     #[must_use]
-    pub fn endangers(&self, token: FencingToken) -> bool {
-        let short = self.fleet.short().devices();
+    pub fn violates_guarantee(&self, token: FencingToken) -> bool {
+        let short = self.fleet.missing_cells().devices();
         if short == 0 {
             return false;
         }
         let mut without = self.fleet.clone();
         without.remove(token);
-        without.short().devices() < short
+        without.missing_cells().devices() < short
     }
 
     /// Returns the number of free devices.
--- a/crates/rampbay-core/tests/invariants.rs
+++ b/crates/rampbay-core/tests/invariants.rs
@@ -236,7 +236,7 @@
         let steady = |event: &&Event| !matches!(event, Event::Lose(_) | Event::Edit { .. });
         for event in events.iter().filter(steady) {
             drive.take(event);
-            prop_assert!(drive.planner.short().is_empty(), "short of {}", drive.planner.short());
+            prop_assert!(drive.planner.missing_cells().is_empty(), "short of {}", drive.planner.missing_cells());
         }
     }
 
--- a/crates/rampbay-entry/src/gangs.rs
+++ b/crates/rampbay-entry/src/gangs.rs
@@ -275,7 +275,7 @@
                     self.sync(page, now);
                 }
                 let wanted = self.planner.gang_of(&job).is_some_and(|(held, _)| held == token);
-                let _ = tx.send(wanted && !self.planner.endangers(token));
+                let _ = tx.send(wanted && !self.planner.violates_guarantee(token));
             }
             Input::StartEnded(job, token, result) => self.start_ended(&job, token, result, now),
             Input::Released(job) => self.planner.finished(&job, now),
@@ -354,7 +354,7 @@
             workspaces: self.planner.workspaces(),
             devices: self.planner.present_devices(),
             free: self.planner.free_devices(),
-            short: self.planner.short().to_string(),
+            short: self.planner.missing_cells().to_string(),
         }
     }
 
@@ -363,7 +363,7 @@
         for command in commands {
             self.carry_out(command);
         }
-        let short = self.planner.short();
+        let short = self.planner.missing_cells();
         if short.is_empty() == self.short {
             self.short = !short.is_empty();
             if self.short {
@@ -518,7 +518,7 @@
         self.note_largest();
         let this = self.shared.settings.id.clone();
         let peers = self.shared.peers();
-        self.planner.look_after(|domain| looks_after(&this, &peers, domain));
+        self.planner.prefer_failure_domains(|domain| looks_after(&this, &peers, domain));
     }
 
     fn note_largest(&self) {
@@ -571,7 +571,7 @@
         };
         set("free", self.planner.free_devices());
         set("present", self.planner.present_devices());
-        set("short", self.planner.short().devices());
+        set("short", self.planner.missing_cells().devices());
     }
 
     /// Renews all leases on one worker in one call.
--- a/crates/rampbay-entry/src/table.rs
+++ b/crates/rampbay-entry/src/table.rs
@@ -197,7 +197,7 @@
     let Ok(Record::Snapshot(snapshot)) = Record::decode(record) else {
         return;
     };
-    let taken = shared.table_mut().take(&snapshot);
+    let taken = shared.table_mut().install_snapshot(&snapshot);
     if taken {
         let detail = format!("version {}", snapshot.version);
         shared.event(Code::TableFromPeer, None, None, detail);
@@ -264,7 +264,7 @@
     const LOOK_EVERY: Duration = Duration::from_millis(10);
     let until = shared.now() + PATIENCE;
     while shared.now() < until {
-        let fate = shared.table().fate(edit).cloned();
+        let fate = shared.table().edit_outcome(edit).cloned();
         if fate.is_some() {
             return fate;
         }
--- a/crates/rampbay-policy/src/policy.rs
+++ b/crates/rampbay-policy/src/policy.rs
@@ -157,6 +157,6 @@
     }
 
     fn short(&self) -> u32 {
-        self.planner.short().devices()
+        self.planner.missing_cells().devices()
     }
 }
--- a/crates/rampbay-spec/tests/implementation.rs
+++ b/crates/rampbay-spec/tests/implementation.rs
@@ -356,7 +356,7 @@
                 4 => log.push(Record::Snapshot(readers[at].snapshot()).encode()),
                 _ => {
                     let snapshot = readers[1 - at].snapshot();
-                    readers[at].take(&snapshot);
+                    readers[at].install_snapshot(&snapshot);
                 }
             }
             if what != 5 {
@@ -379,7 +379,7 @@
         // A reader that starts late, after retention, comes to the same by a snapshot.
         let snapshot = readers[0].snapshot();
         let mut late = TableState::default();
-        prop_assert!(late.take(&snapshot) || snapshot.version == 0);
+        prop_assert!(late.install_snapshot(&snapshot) || snapshot.version == 0);
         prop_assert_eq!(late.rows(), readers[1].rows());
     }
 
--- a/crates/rampbay-table/src/state.rs
+++ b/crates/rampbay-table/src/state.rs
@@ -113,7 +113,7 @@
 
     fn apply_snapshot(&mut self, offset: u64, snapshot: &Snapshot) -> Applied {
         let contiguous = self.next_offset() == offset;
-        let taken = !contiguous && self.take(snapshot);
+        let taken = !contiguous && self.install_snapshot(snapshot);
         self.advance(offset);
         self.last_snapshot = Some(offset);
         Applied::Snapshot { taken }
@@ -122,7 +122,7 @@
     /// Takes over a snapshot, from the log or from a peer, unless it is behind this table.
     ///
     /// Returns whether it was taken. A table never goes back to an older version.
-    pub fn take(&mut self, snapshot: &Snapshot) -> bool {
+    pub fn install_snapshot(&mut self, snapshot: &Snapshot) -> bool {
         let behind = snapshot.version < self.version
             || (snapshot.version == self.version && snapshot.upto <= self.upto);
         if behind {
@@ -243,7 +243,7 @@
 
     /// Returns what became of an edit, if it was folded lately.
     #[must_use]
-    pub fn fate(&self, edit: &str) -> Option<&HistoryRow> {
+    pub fn edit_outcome(&self, edit: &str) -> Option<&HistoryRow> {
         self.history.iter().rev().find(|row| row.edit == edit)
     }
 
