--- a/crates/rampbay-core/benches/planner.rs
+++ b/crates/rampbay-core/benches/planner.rs
@@ -94,7 +94,7 @@
     for workers in [300, 1_000, 2_500] {
         let mut planner = filled(workers, 4, workers);
         let gang = GangSpec::new(256).adjacency(Adjacency::FailureDomain);
-        planner.submit(JobSpec::new("large", "team-0").gang(gang), NOW).expect("taken");
+        planner.submit(JobSpec::new("large", "team-0").gang(gang), NOW).expect("job accepted");
         group.bench_with_input(BenchmarkId::from_parameter(workers), &planner, |b, planner| {
             b.iter_batched_ref(
                 || planner.clone(),
--- a/crates/rampbay-core/examples/borrower_shrinks.rs
+++ b/crates/rampbay-core/examples/borrower_shrinks.rs
@@ -21,10 +21,10 @@
     planner.set_workspace("trials", Knobs::default());
     let second = Duration::from_secs(1);
     let borrower = JobSpec::new("borrower", "trials").gang(GangSpec::new(8).min_devices(4));
-    planner.submit(borrower, second).expect("taken");
+    planner.submit(borrower, second).expect("job accepted");
     run(&mut planner, second);
     let owner = JobSpec::new("owner", "forecasts").gang(GangSpec::new(4));
-    planner.submit(owner, second * 2).expect("taken");
+    planner.submit(owner, second * 2).expect("job accepted");
     run(&mut planner, second * 2);
     run(&mut planner, second * 3);
     for job in ["borrower", "owner"] {
--- a/crates/rampbay-core/examples/gang_waits_and_starts.rs
+++ b/crates/rampbay-core/examples/gang_waits_and_starts.rs
@@ -21,7 +21,7 @@
     let second = Duration::from_secs(1);
     for id in ["first", "second"] {
         let spec = JobSpec::new(id, "reindexing").gang(GangSpec::new(8));
-        planner.submit(spec, second).expect("taken");
+        planner.submit(spec, second).expect("job accepted");
     }
     show(&mut planner, second);
     planner.finished("first", second * 60);
--- a/crates/rampbay-core/examples/guarantee_returns.rs
+++ b/crates/rampbay-core/examples/guarantee_returns.rs
@@ -27,12 +27,12 @@
     println!("sweep: {}", planner.submit(sweep, second).expect_err("may not borrow"));
     for (id, checkpointable) in [("slow", false), ("quick", true)] {
         let gang = GangSpec::new(8).checkpointable(checkpointable);
-        planner.submit(JobSpec::new(id, "trials").gang(gang), second).expect("taken");
+        planner.submit(JobSpec::new(id, "trials").gang(gang), second).expect("job accepted");
     }
     let mut asked = run(&mut planner, second);
     let later = second * 600;
     let owner = JobSpec::new("owner", "subjects").gang(GangSpec::new(8));
-    planner.submit(owner, later).expect("taken");
+    planner.submit(owner, later).expect("job accepted");
     asked.extend(run(&mut planner, later));
     println!("owner: {}", planner.explain("owner", later).expect("known").reason);
     for token in asked {
--- a/crates/rampbay-core/src/fleet.rs
+++ b/crates/rampbay-core/src/fleet.rs
@@ -21,7 +21,7 @@
 }
 
 impl Claim {
-    const fn least(self) -> Option<Level> {
+    const fn min_level(self) -> Option<Level> {
         match self {
             Claim::IfItFits => Some(Level::Device),
             Claim::AsLeased(level) => level,
@@ -53,10 +53,11 @@
         if lends {
             self.mark_lent(token, &parts, true);
         }
-        let Some(least) = claim.least() else { return };
+        let Some(min_level) = claim.min_level() else { return };
         let workers = &self.workers;
-        let level =
-            self.workspaces.change_cells(workspace, |cells| cells.claim(&parts, least, workers));
+        let level = self
+            .workspaces
+            .change_cells(workspace, |cells| cells.claim(&parts, min_level, workers));
         if let Some(gang) = self.gangs.get_mut(&token) {
             gang.meta.cell = level;
         }
@@ -142,14 +143,14 @@
 
     fn mark(&mut self, gang: &Gang, used: bool) {
         let token = gang.meta.token;
-        let fixed = !gang.meta.checkpointable;
+        let loses_work = !gang.meta.checkpointable;
         for (worker, devices) in &gang.parts {
             let devices = *devices;
             let count = devices.count_ones();
             let (cores, memory) = (count * gang.cores_per_device, count * gang.memory_per_device);
             self.workers.change(*worker, |row| {
                 if used {
-                    row.holders.push(Holder { token, devices, lent: false, fixed });
+                    row.holders.push(Holder { token, devices, lent: false, loses_work });
                     row.cores_used += cores;
                     row.memory_used += memory;
                 } else {
--- a/crates/rampbay-core/src/guarantee.rs
+++ b/crates/rampbay-core/src/guarantee.rs
@@ -146,13 +146,13 @@
 /// A binding stays where it is until the last gang in it ends. Were it derived anew from the gangs
 /// that are left, it could move to a place whose rest is not to be had; a property test found that.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct CellBook {
+pub struct GuaranteeCells {
     guarantee: Shape,
     unbound: Shape,
     bindings: Vec<Binding>,
 }
 
-impl CellBook {
+impl GuaranteeCells {
     /// Creates the book of a guarantee of which nothing is in use.
     #[must_use]
     pub const fn new(guarantee: Shape) -> Self {
@@ -190,19 +190,19 @@
 
     /// Claims cells for a gang: each part must lie in a cell that is bound already, or bind one.
     ///
-    /// Cells smaller than `least` aren't bound. Returns the largest level that was used, or
+    /// Cells smaller than `min_level` aren't bound. Returns the largest level that was used, or
     /// nothing if the gang doesn't fit; the book is unchanged then.
     pub fn claim(
         &mut self,
         parts: &[(WorkerIndex, DeviceMask)],
-        least: Level,
+        min_level: Level,
         geometry: &impl Geometry,
     ) -> Option<Level> {
         let before = self.clone();
         let mut largest = Level::Device;
         for (worker, devices) in parts {
             for chunk in chunks(*devices) {
-                match self.assign(*worker, chunk, least, geometry) {
+                match self.assign(*worker, chunk, min_level, geometry) {
                     Some(level) => largest = largest.max(level),
                     None => {
                         *self = before;
@@ -260,12 +260,12 @@
         &mut self,
         worker: WorkerIndex,
         devices: DeviceMask,
-        least: Level,
+        min_level: Level,
         geometry: &impl Geometry,
     ) -> Option<Level> {
         self.assign_bound(worker, devices)
-            .or_else(|| self.bind(worker, devices, least, geometry))
-            .or_else(|| self.assign_halves(worker, devices, least, geometry))
+            .or_else(|| self.bind(worker, devices, min_level, geometry))
+            .or_else(|| self.assign_halves(worker, devices, min_level, geometry))
     }
 
     fn assign_bound(&mut self, worker: WorkerIndex, devices: DeviceMask) -> Option<Level> {
@@ -285,10 +285,10 @@
         &mut self,
         worker: WorkerIndex,
         devices: DeviceMask,
-        least: Level,
+        min_level: Level,
         geometry: &impl Geometry,
     ) -> Option<Level> {
-        for level in LEVELS.into_iter().filter(|level| *level >= least) {
+        for level in LEVELS.into_iter().filter(|level| *level >= min_level) {
             if self.unbound.count(level) == 0 {
                 continue;
             }
@@ -309,7 +309,7 @@
         &mut self,
         worker: WorkerIndex,
         devices: DeviceMask,
-        least: Level,
+        min_level: Level,
         geometry: &impl Geometry,
     ) -> Option<Level> {
         let block = (1..=3).map(|level| 1 << level).find_map(|size| block_of(size, devices))?;
@@ -319,8 +319,8 @@
         if low == 0 || high == 0 {
             return None;
         }
-        let first = self.assign(worker, low, least, geometry)?;
-        let second = self.assign(worker, high, least, geometry)?;
+        let first = self.assign(worker, low, min_level, geometry)?;
+        let second = self.assign(worker, high, min_level, geometry)?;
         Some(first.max(second))
     }
 }
--- a/crates/rampbay-core/src/place.rs
+++ b/crates/rampbay-core/src/place.rs
@@ -32,14 +32,14 @@
     /// Where the scan starts, so that two planners differ.
     pub offset: usize,
     /// Failure domains, by row, that other planners look after; dearer, but not closed.
-    pub others: u64,
+    pub other_domains: u64,
     /// What the gang that is placed means to guarantees.
-    pub stake: Stake,
+    pub impact: GuaranteeImpact,
 }
 
 /// What a gang that is placed means to guarantees.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) enum Stake {
+pub(crate) enum GuaranteeImpact {
     /// Nothing that is known.
     #[default]
     None,
@@ -64,7 +64,7 @@
 
 /// What it costs to plan into a failure domain that another planner looks after: more than an
 /// untidy fit, less than a broken worker cell.
-const OTHER_PLANNERS_DOMAIN: u32 = 128;
+const OTHER_DOMAIN_COST: u32 = 128;
 
 /// A search ends after this many groups that have room and are no cheaper. Today's fleets have
 /// fewer groups than that.
@@ -178,12 +178,12 @@
         }
         let parts = choose(&mut candidates, devices, preference.offset);
         let foreign = parts.iter().any(|(worker, _)| {
-            preference.others & domain_bit(workers.rows[*worker].failure_domain) != 0
+            preference.other_domains & domain_bit(workers.rows[*worker].failure_domain) != 0
         });
-        let away = if foreign { OTHER_PLANNERS_DOMAIN } else { 0 };
-        let stake: u32 =
-            parts.iter().map(|part| stake_cost(workers, *part, demand, preference)).sum();
-        let cost = cost(workers, &parts, free - devices, usable) + away + stake;
+        let domain_cost = if foreign { OTHER_DOMAIN_COST } else { 0 };
+        let impact: u32 =
+            parts.iter().map(|part| guarantee_cost(workers, *part, demand, preference)).sum();
+        let cost = cost(workers, &parts, free - devices, usable) + domain_cost + impact;
         if preference.packing <= FIRST_FIT_PACKING && !foreign {
             return Found::Place(parts);
         }
@@ -265,9 +265,9 @@
         if mask & here != here {
             continue;
         }
-        let holds = enclosing_block(mask, at, size);
-        if best.is_none_or(|(smallest, _)| holds < smallest) {
-            best = Some((holds, here));
+        let enclosing = enclosing_block(mask, at, size);
+        if best.is_none_or(|(smallest, _)| enclosing < smallest) {
+            best = Some((enclosing, here));
         }
     }
     best.map(|(_, here)| here)
@@ -275,17 +275,17 @@
 
 /// Returns the size of the largest free aligned block around the one at `at`.
 fn enclosing_block(mask: DeviceMask, at: u32, size: u32) -> u32 {
-    let mut holds = size;
-    while holds < DEVICES_PER_WORKER {
-        let larger = holds * 2;
+    let mut enclosing = size;
+    while enclosing < DEVICES_PER_WORKER {
+        let larger = enclosing * 2;
         let block: DeviceMask = (1 << larger) - 1;
         let start = at - at % larger;
         if mask & (block << start) != block << start {
             break;
         }
-        holds = larger;
+        enclosing = larger;
     }
-    holds
+    enclosing
 }
 
 fn lowest_bits(mask: DeviceMask, count: u32) -> DeviceMask {
@@ -297,26 +297,26 @@
 }
 
 /// What a part costs for the guarantees that it touches.
-fn stake_cost(
+fn guarantee_cost(
     workers: &WorkerTable,
     (worker, devices): IndexedPart,
     demand: &Demand,
     preference: Preference,
 ) -> u32 {
-    const MOVE: u32 = 6;
-    const LOSE: u32 = 24;
+    const MOVE_COST: u32 = 6;
+    const LOST_WORK_COST: u32 = 24;
     let row = &workers.rows[worker];
-    match preference.stake {
-        Stake::None => 0,
-        Stake::Borrows { checkpointable } => {
+    match preference.impact {
+        GuaranteeImpact::None => 0,
+        GuaranteeImpact::Borrows { checkpointable } => {
             let bound = row.bound_by_others(demand.workspace);
-            (devices & bound).count_ones() * if checkpointable { MOVE } else { LOSE }
+            (devices & bound).count_ones() * if checkpointable { MOVE_COST } else { LOST_WORK_COST }
         }
-        Stake::Binds(Level::Rack) => {
+        GuaranteeImpact::Binds(Level::Rack) => {
             let members = &workers.rack_cells[row.rack_cell];
             members.iter().map(|member| workers.rows[*member].cost_of_lent()).sum()
         }
-        Stake::Binds(_) => row.cost_of_lent(),
+        GuaranteeImpact::Binds(_) => row.cost_of_lent(),
     }
 }
 
--- a/crates/rampbay-core/src/plan.rs
+++ b/crates/rampbay-core/src/plan.rs
@@ -17,7 +17,7 @@
     job::{Class, JobSpec},
     knobs::Knobs,
     lease::LeaseMeta,
-    place::{IndexedPart, Preference, Stake, domain_bit, largest},
+    place::{GuaranteeImpact, IndexedPart, Preference, domain_bit, largest},
     reason::Reason,
     shape::{LEVELS, Shape},
     tables::{Demand, Gang, JobRow, JobState, QueueTable},
@@ -42,9 +42,9 @@
     deadlines: BTreeSet<(Duration, JobId)>,
     reclaiming: BTreeMap<JobId, Duration>,
     reservations: Vec<Reservation>,
-    moves: VecDeque<Duration>,
+    move_times: VecDeque<Duration>,
     /// Demands with new jobs since the last tick.
-    fresh: BTreeSet<Demand>,
+    new_demands: BTreeSet<Demand>,
     /// Whether anything may start now that couldn't at the last tick.
     capacity_gained: bool,
     /// Why the head of each demand's queue waits.
@@ -55,7 +55,7 @@
     /// to it.
     left_to_others: Vec<(FencingToken, Duration)>,
     /// Failure domains that other planners look after.
-    others: u64,
+    other_domains: u64,
 }
 
 /// Bits of a fencing token below its time.
@@ -75,14 +75,14 @@
             deadlines: BTreeSet::new(),
             reclaiming: BTreeMap::new(),
             reservations: Vec::new(),
-            moves: VecDeque::new(),
-            fresh: BTreeSet::new(),
+            move_times: VecDeque::new(),
+            new_demands: BTreeSet::new(),
             capacity_gained: false,
             blocked: BTreeMap::new(),
             last_token: 0,
             next_scan: Duration::ZERO,
             left_to_others: Vec::new(),
-            others: 0,
+            other_domains: 0,
         }
     }
 
@@ -127,7 +127,7 @@
     pub fn prefer_failure_domains(&mut self, owns: impl Fn(&str) -> bool) {
         let names = self.fleet.workers.failure_domain_names();
         let others = names.filter(|(name, _)| !owns(name));
-        self.others = others.fold(0, |bits, (_, row)| bits | domain_bit(row));
+        self.other_domains = others.fold(0, |bits, (_, row)| bits | domain_bit(row));
     }
 
     /// Sets a workspace's knobs.
@@ -235,7 +235,7 @@
         } else {
             jobs.push_back(id.clone());
         }
-        self.fresh.insert(demand);
+        self.new_demands.insert(demand);
     }
 
     fn dequeue(&mut self, id: &JobId) {
@@ -262,13 +262,13 @@
     pub fn tick(&mut self, now: Duration) -> Vec<Command> {
         let mut commands = Vec::new();
         self.expire(now, &mut commands);
-        self.end_leaving(now);
+        self.free_devices_left_to_others(now);
         self.advance_reclaims(now, &mut commands);
         if self.scan_due(now) {
             self.place_waiting(now, &mut commands);
             self.reserve_for_starving(now, &mut commands);
             self.capacity_gained = false;
-            self.fresh.clear();
+            self.new_demands.clear();
         }
         commands
     }
@@ -280,7 +280,7 @@
         if self.queue.is_empty() {
             return false;
         }
-        if !self.capacity_gained && self.fresh.is_empty() && now < self.next_scan {
+        if !self.capacity_gained && self.new_demands.is_empty() && now < self.next_scan {
             return false;
         }
         if now >= self.next_scan {
@@ -298,7 +298,7 @@
             self.deadlines.pop_first();
             let waits = self.jobs.get(&job).is_some_and(|row| row.state == JobState::Waiting);
             if waits {
-                self.forget(&job);
+                self.remove_job(&job);
                 commands.push(Command::Expire { job });
             }
         }
@@ -378,10 +378,10 @@
         if let Some(token) = gang_token(&row.state) {
             self.drop_gang(token, now);
         }
-        self.forget(&id);
+        self.remove_job(&id);
     }
 
-    fn forget(&mut self, job: &JobId) {
+    fn remove_job(&mut self, job: &JobId) {
         self.dequeue(job);
         self.reclaiming.remove(job);
         let Some(row) = self.jobs.remove(job) else {
@@ -476,11 +476,16 @@
     fn preference(&self, demand: &Demand) -> Preference {
         let packing = self.fleet.workspaces.rows[demand.workspace].knobs.packing;
         let offset = usize::try_from(self.seed % 1_024).unwrap_or(0);
-        Preference { packing, offset, others: self.others, stake: self.stake(demand) }
+        Preference {
+            packing,
+            offset,
+            other_domains: self.other_domains,
+            impact: self.guarantee_impact(demand),
+        }
     }
 
     /// Guesses what a gang will mean to guarantees: whether its cells fit into what is unbound.
-    fn stake(&self, demand: &Demand) -> Stake {
+    fn guarantee_impact(&self, demand: &Demand) -> GuaranteeImpact {
         let unbound = self.fleet.workspaces.rows[demand.workspace].cells.unbound();
         let tightest = Shape::tightest(demand.devices);
         let needed = LEVELS.into_iter().rev().find(|level| tightest.count(*level) > 0);
@@ -489,8 +494,8 @@
             larger.into_iter().find(|level| unbound.count(*level) > 0)
         });
         match binds {
-            Some(level) if unbound.holds(&tightest) => Stake::Binds(level),
-            _ => Stake::Borrows { checkpointable: demand.checkpointable },
+            Some(level) if unbound.holds(&tightest) => GuaranteeImpact::Binds(level),
+            _ => GuaranteeImpact::Borrows { checkpointable: demand.checkpointable },
         }
     }
 
--- a/crates/rampbay-core/src/plan/place_jobs.rs
+++ b/crates/rampbay-core/src/plan/place_jobs.rs
@@ -12,7 +12,7 @@
     ids::{FencingToken, JobId},
     job::{Adjacency, Class},
     lease::LeaseMeta,
-    place::{Found, IndexedPart, Stake, Usable, find, find_among},
+    place::{Found, GuaranteeImpact, IndexedPart, Usable, find, find_among},
     reason::Reason,
     reclaim,
     shape::Shape,
@@ -25,7 +25,7 @@
 type ServiceKey = (Class, bool, u64, Duration);
 
 /// What came of trying to start one job.
-enum Tried {
+enum StartAttempt {
     Started,
     Blocked(Reason),
 }
@@ -36,7 +36,11 @@
         let demands: Vec<Demand> = if self.capacity_gained {
             self.queue.keys().cloned().collect()
         } else {
-            self.fresh.iter().filter(|demand| self.queue.contains_key(*demand)).cloned().collect()
+            self.new_demands
+                .iter()
+                .filter(|demand| self.queue.contains_key(*demand))
+                .cloned()
+                .collect()
         };
         let mut heap: BinaryHeap<Reverse<(ServiceKey, Demand)>> = BinaryHeap::new();
         for demand in demands {
@@ -53,13 +57,13 @@
                 continue;
             };
             match self.try_start(&job, &demand, now, commands) {
-                Tried::Started => {
+                StartAttempt::Started => {
                     left -= 1;
                     if let Some(key) = self.service_key(&demand, now) {
                         heap.push(Reverse((key, demand)));
                     }
                 }
-                Tried::Blocked(reason) => {
+                StartAttempt::Blocked(reason) => {
                     self.blocked.insert(demand, reason);
                 }
             }
@@ -91,19 +95,19 @@
         demand: &Demand,
         now: Duration,
         commands: &mut Vec<Command>,
-    ) -> Tried {
+    ) -> StartAttempt {
         let knobs = &self.fleet.workspaces.rows[demand.workspace].knobs;
         let limit = knobs.running_limit;
         let running = self.fleet.workspaces.rows[demand.workspace].gangs.len();
         if running >= limit as usize {
-            return Tried::Blocked(Reason::RunningLimit { limit });
+            return StartAttempt::Blocked(Reason::RunningLimit { limit });
         }
         let mut reason = None;
         let closed = self.closed_to(job, demand, now);
         for devices in sizes(demand) {
             match self.try_free(job, demand, devices, &closed, now, commands) {
-                Tried::Started => return Tried::Started,
-                Tried::Blocked(why) => reason = reason.or(Some(why)),
+                StartAttempt::Started => return StartAttempt::Started,
+                StartAttempt::Blocked(why) => reason = reason.or(Some(why)),
             }
         }
         // An owner goes into reserved places before others have to stop for it.
@@ -111,16 +115,17 @@
         let owner = unused.holds(&Shape::tightest(demand.devices));
         if owner
             && !closed.is_empty()
-            && let Tried::Started = self.try_free(job, demand, demand.devices, &[], now, commands)
+            && let StartAttempt::Started =
+                self.try_free(job, demand, demand.devices, &[], now, commands)
         {
-            return Tried::Started;
+            return StartAttempt::Started;
         }
         for devices in sizes(demand) {
             if self.try_reclaim(job, demand, devices, now, commands) {
-                return Tried::Started;
+                return StartAttempt::Started;
             }
         }
-        Tried::Blocked(reason.unwrap_or(Reason::Queued))
+        StartAttempt::Blocked(reason.unwrap_or(Reason::Queued))
     }
 
     /// Tries to start on free devices: in the workspace's own cells, then anywhere.
@@ -132,11 +137,11 @@
         closed: &[usize],
         now: Duration,
         commands: &mut Vec<Command>,
-    ) -> Tried {
+    ) -> StartAttempt {
         let preference = self.preference(demand);
-        let avoids_owners = loses_much(demand, preference.stake);
+        let avoids_owners = has_costly_restart(demand, preference.impact);
         let usable = |index: usize, row: &WorkerRow| {
-            let kept = if closed.contains(&index) { row.earmarked } else { 0 };
+            let kept = if closed.contains(&index) { row.reserved } else { 0 };
             let owners = if avoids_owners { row.bound_by_others(demand.workspace) } else { 0 };
             row.free() & !kept & !owners
         };
@@ -145,12 +150,12 @@
             .or_else(|| self.try_open_cell(job, demand, devices, &usable, now));
         if let Some(token) = own {
             self.begin(job, token, commands);
-            return Tried::Started;
+            return StartAttempt::Started;
         }
         let parts = match find(&self.fleet.workers, demand, devices, preference, &usable) {
             Found::Place(parts) => parts,
             Found::NoRoom { best } => {
-                return Tried::Blocked(self.no_room(demand, devices, best, closed));
+                return StartAttempt::Blocked(self.no_room(demand, devices, best, closed));
             }
         };
         let admitted = self.admit(job, demand, parts.clone(), &[], Claim::IfItFits, now);
@@ -164,9 +169,9 @@
         match admitted {
             Ok(token) => {
                 self.begin(job, token, commands);
-                Tried::Started
+                StartAttempt::Started
             }
-            Err(why) => Tried::Blocked(why),
+            Err(why) => StartAttempt::Blocked(why),
         }
     }
 
@@ -180,7 +185,7 @@
         now: Duration,
     ) -> Option<FencingToken> {
         let preference = self.preference(demand);
-        let Stake::Binds(level) = preference.stake else { return None };
+        let GuaranteeImpact::Binds(level) = preference.impact else { return None };
         let workers = &self.fleet.workers;
         let in_open_cell = |index: usize, row: &WorkerRow| {
             usable.devices(index, row) & workers.open_cells(index, level)
@@ -212,9 +217,9 @@
         let usable =
             |index: usize, row: &WorkerRow| rest.get(&index).map_or(0, |mask| mask & row.free());
         let members: Vec<usize> = rest.keys().copied().collect();
-        let together = within_adjacency(&self.fleet.workers, &members, demand.adjacency);
+        let groups = within_adjacency(&self.fleet.workers, &members, demand.adjacency);
         let preference = self.preference(demand);
-        for members in together {
+        for members in groups {
             let workers = &self.fleet.workers;
             let found = find_among(workers, &members, demand, devices, preference, &usable);
             if let Found::Place(parts) = found
@@ -258,7 +263,7 @@
         let preference = self.preference(demand);
         let cells =
             if owned { reclaim::cell_plans(&self.fleet, demand, devices, now) } else { Vec::new() };
-        let groups = reclaim::plans(&self.fleet, demand, devices, owned, preference, now);
+        let groups = reclaim::group_plans(&self.fleet, demand, devices, owned, preference, now);
         for plan in cells.into_iter().chain(groups) {
             let victims: Vec<_> = plan.victims.keys().copied().collect();
             if let Ok(token) = self.admit(job, demand, plan.parts, &victims, Claim::IfItFits, now) {
@@ -292,17 +297,17 @@
         let token = self.next_token(now);
         let gang = self.new_gang(job, demand, token, parts, now);
         self.fleet.insert(gang, claim);
-        let mut verdict = self.verdict(demand, token, short_before, borrowed_before);
+        let mut result = self.check_admission(demand, token, short_before, borrowed_before);
         // Nobody stops for work that would itself borrow, but for urgent work.
         let borrows = !self.fleet.gangs[&token].owned;
         if !victims.is_empty() && borrows && demand.class != Class::Urgent {
-            verdict = verdict.and(Err(Reason::NeedsOwnCells));
+            result = result.and(Err(Reason::NeedsOwnCells));
         }
-        if verdict.is_err() {
+        if result.is_err() {
             self.fleet.remove(token);
         }
         for mut gang in removed {
-            if verdict.is_ok() {
+            if result.is_ok() {
                 gang.yields_to = Some(job.clone());
             }
             let yields = gang.yields_to.is_some();
@@ -313,10 +318,10 @@
                 self.fleet.withdraw_lent(token);
             }
         }
-        verdict.map(|()| token)
+        result.map(|()| token)
     }
 
-    fn verdict(
+    fn check_admission(
         &self,
         demand: &Demand,
         token: FencingToken,
@@ -407,11 +412,13 @@
 
 /// Whether a gang that borrows would lose much work when an owner asks for its devices: then it
 /// keeps away from cells whose owner is active.
-fn loses_much(demand: &Demand, stake: Stake) -> bool {
+fn has_costly_restart(demand: &Demand, impact: GuaranteeImpact) -> bool {
     const LARGE: u32 = 8;
     const SHORT_MS: u64 = 15 * 60 * 1_000;
     let short = demand.expected_ms.is_some_and(|ms| ms <= SHORT_MS);
-    stake == Stake::Borrows { checkpointable: false } && demand.devices >= LARGE && !short
+    impact == GuaranteeImpact::Borrows { checkpointable: false }
+        && demand.devices >= LARGE
+        && !short
 }
 
 /// Divides workers into groups that an adjacency allows a gang to span.
--- a/crates/rampbay-core/src/plan/reserve.rs
+++ b/crates/rampbay-core/src/plan/reserve.rs
@@ -26,7 +26,7 @@
 const WORKERS_PER_RESERVATION: usize = 5;
 const MINUTE: Duration = Duration::from_secs(60);
 /// Assumed to be left of a run of which nothing is known.
-const LEAST_REMAINING: Duration = Duration::from_secs(60);
+const MIN_REMAINING: Duration = Duration::from_secs(60);
 
 /// Whether a checkpointable gang is small enough to give way to a starving one without a place to
 /// go to.
@@ -78,22 +78,22 @@
             self.reservations.push(reservation);
         }
         self.renew_reservations(now);
-        self.open_reserved(now, commands);
+        self.clear_reserved_workers(now, commands);
     }
 
     /// Moves a reservation to a place that is expected to be free clearly sooner.
     fn renew_reservations(&mut self, now: Duration) {
-        const CLEARLY: Duration = Duration::from_secs(600);
+        const MIN_GAIN: Duration = Duration::from_secs(600);
         for at in 0..self.reservations.len() {
             let old = self.reservations[at].clone();
-            if old.ready_at <= now + CLEARLY {
+            if old.ready_at <= now + MIN_GAIN {
                 continue;
             }
             let row = &self.jobs[&old.job];
             let Some(demand) = Demand::of(&row.spec, row.workspace) else { continue };
             self.mark_reserved(&old.workers, false);
             let better = self.choose_workers(&old.job, &demand, now);
-            let chosen = better.filter(|new| new.ready_at + CLEARLY < old.ready_at).unwrap_or(old);
+            let chosen = better.filter(|new| new.ready_at + MIN_GAIN < old.ready_at).unwrap_or(old);
             self.mark_reserved(&chosen.workers, true);
             self.reservations[at] = chosen;
         }
@@ -102,7 +102,7 @@
     fn mark_reserved(&mut self, workers: &[WorkerIndex], reserved: bool) {
         for worker in workers {
             let row = &mut self.fleet.workers.rows[*worker];
-            row.earmarked = if reserved { row.spec.all_devices() } else { 0 };
+            row.reserved = if reserved { row.spec.all_devices() } else { 0 };
         }
     }
 
@@ -125,12 +125,12 @@
     /// Counts a job of a later class as one that arrived later, so that none waits for ever behind
     /// the earlier classes.
     pub(super) fn aged_arrival(&self, job: &JobId, class: Class) -> Duration {
-        let head_start = match class {
+        let class_delay = match class {
             Class::Urgent => Duration::ZERO,
             Class::Normal => Duration::from_secs(1_800),
             Class::Batch => Duration::from_secs(2 * 3_600),
         };
-        self.jobs[job].arrived + head_start
+        self.jobs[job].arrived + class_delay
     }
 
     /// Chooses the workers that are expected to be free soonest.
@@ -156,7 +156,7 @@
     ) -> Option<(Duration, Vec<WorkerIndex>)> {
         let mut free_at: Vec<(Duration, WorkerIndex)> = members
             .iter()
-            .filter(|index| self.fleet.workers.rows[**index].earmarked == 0)
+            .filter(|index| self.fleet.workers.rows[**index].reserved == 0)
             .map(|index| {
                 let free_at = self.worker_free_at(*index, now, |gang| is_small(gang, demand));
                 (free_at + self.owners_delay(*index, demand), *index)
@@ -177,10 +177,10 @@
 
     /// A place that another workspace's cell is bound to clears late: its owner goes on using it.
     fn owners_delay(&self, worker: WorkerIndex, demand: &Demand) -> Duration {
-        const OWNER_STAYS: Duration = Duration::from_secs(4 * 3_600);
+        const OWNER_DELAY: Duration = Duration::from_secs(4 * 3_600);
         let row = &self.fleet.workers.rows[worker];
         let foreign = row.bound.iter().any(|part| part.workspace != demand.workspace);
-        if foreign { OWNER_STAYS } else { Duration::ZERO }
+        if foreign { OWNER_DELAY } else { Duration::ZERO }
     }
 
     /// Returns when a worker is expected to be free, if the gangs that go at once do.
@@ -188,14 +188,14 @@
         &self,
         worker: WorkerIndex,
         now: Duration,
-        goes_at_once: impl Fn(&Gang) -> bool,
+        is_removable: impl Fn(&Gang) -> bool,
     ) -> Duration {
         let ends = |gang: &Gang| {
-            if gang.yields_to.is_some() || goes_at_once(gang) {
+            if gang.yields_to.is_some() || is_removable(gang) {
                 return now;
             }
             let elapsed = now.saturating_sub(gang.meta.started);
-            gang.meta.expected_end.unwrap_or(now + elapsed.max(LEAST_REMAINING)).max(now)
+            gang.meta.expected_end.unwrap_or(now + elapsed.max(MIN_REMAINING)).max(now)
         };
         let row: &WorkerRow = &self.fleet.workers.rows[worker];
         let gangs = row.holders.iter().filter_map(|holder| self.fleet.gangs.get(&holder.token));
@@ -203,9 +203,9 @@
     }
 
     /// Moves checkpointable gangs out of reserved workers where they find room elsewhere.
-    fn open_reserved(&mut self, now: Duration, commands: &mut Vec<Command>) {
-        while self.moves.front().is_some_and(|at| now.saturating_sub(*at) > MINUTE) {
-            self.moves.pop_front();
+    fn clear_reserved_workers(&mut self, now: Duration, commands: &mut Vec<Command>) {
+        while self.move_times.front().is_some_and(|at| now.saturating_sub(*at) > MINUTE) {
+            self.move_times.pop_front();
         }
         for at in 0..self.reservations.len() {
             // What yields or can be moved doesn't count: short work may fill in only until the
@@ -223,10 +223,10 @@
                 continue;
             }
             for token in self.movable(&reservation, now) {
-                if self.moves.len() >= self.settings.moves_per_minute as usize {
+                if self.move_times.len() >= self.settings.moves_per_minute as usize {
                     return;
                 }
-                self.moves.push_back(now);
+                self.move_times.push_back(now);
                 if let Some(gang) = self.fleet.gangs.get_mut(&token) {
                     gang.yields_to = Some(reservation.job.clone());
                 }
@@ -282,7 +282,7 @@
             expected_ms: None,
         };
         let usable = |index: WorkerIndex, row: &WorkerRow| {
-            if reservation.workers.contains(&index) { 0 } else { row.free() & !row.earmarked }
+            if reservation.workers.contains(&index) { 0 } else { row.free() & !row.reserved }
         };
         let preference = self.preference(&demand);
         let found = find(&self.fleet.workers, &demand, gang.devices(), preference, &usable);
--- a/crates/rampbay-core/src/plan/yielding.rs
+++ b/crates/rampbay-core/src/plan/yielding.rs
@@ -112,7 +112,7 @@
         else {
             return;
         };
-        let how = crate::reclaim::how(gang, &taker.parts);
+        let how = crate::reclaim::choose_yield(gang, &taker.parts);
         self.ask_to_yield(victim, how, job, commands);
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// Counts devices as free that were left to another planner's job and not taken.
-    pub(super) fn end_leaving(&mut self, now: Duration) {
+    pub(super) fn free_devices_left_to_others(&mut self, now: Duration) {
         let (over, left) =
             std::mem::take(&mut self.left_to_others).into_iter().partition(|(_, at)| *at <= now);
         self.left_to_others = left;
--- a/crates/rampbay-core/src/reclaim.rs
+++ b/crates/rampbay-core/src/reclaim.rs
@@ -55,7 +55,7 @@
 /// Finds the places that cost least to clear, over free devices and those that may yield.
 ///
 /// The cheapest comes first.
-pub(crate) fn plans(
+pub(crate) fn group_plans(
     fleet: &Fleet,
     demand: &Demand,
     devices: u32,
@@ -76,7 +76,7 @@
             .filter(|holder| yielding.contains_key(&holder.token))
             .fold(0, |mask, holder| mask | holder.devices);
         // A reservation keeps others out, but never an owner.
-        let kept = if demand_owned { 0 } else { row.earmarked };
+        let kept = if demand_owned { 0 } else { row.reserved };
         (row.free() | (yields & row.present)) & !kept
     };
     let room = |members: &[WorkerIndex]| -> u32 {
@@ -88,7 +88,7 @@
         .filter(|members| room(members) >= devices)
         .take(MAX_GROUPS)
         .filter_map(|members| {
-            clear(fleet, &yielding, &members, demand, devices, preference, &available, now)
+            clear_group(fleet, &yielding, &members, demand, devices, preference, &available, now)
         })
         .collect();
     found.sort_by_key(|(cost, _)| *cost);
@@ -129,16 +129,16 @@
             }
             let bound = rest.get(&index).copied().unwrap_or(0);
             let chosen = choose_in_block(mask, row.free(), bound, devices);
-            let away = if chosen & !bound == 0 {
+            let new_cell_cost = if chosen & !bound == 0 {
                 0
             } else {
                 // Binding a new cell puts all that is lent around it at risk.
                 let around = &fleet.workers.rack_cells[row.rack_cell];
                 let lent = around.iter().map(|at| fleet.workers.rows[*at].cost_of_lent());
-                NOT_IN_BOUND_CELL + u64::from(lent.sum::<u32>()) * AT_RISK
+                NEW_CELL_COST + u64::from(lent.sum::<u32>()) * LENT_COST_SECONDS
             };
-            let kept = if chosen & row.earmarked == 0 { 0 } else { RESERVED };
-            found.push((cost_of(chosen) + away + kept, index, chosen));
+            let reserved_cost = if chosen & row.reserved == 0 { 0 } else { RESERVED_COST };
+            found.push((cost_of(chosen) + new_cell_cost + reserved_cost, index, chosen));
         }
     }
     found.sort_unstable();
@@ -154,11 +154,11 @@
 }
 
 /// Dearer than any set of gangs on one worker.
-const NOT_IN_BOUND_CELL: u64 = 1 << 40;
+const NEW_CELL_COST: u64 = 1 << 40;
 /// Seconds for each unit of what lending costs.
-const AT_RISK: u64 = 60;
+const LENT_COST_SECONDS: u64 = 60;
 /// What it costs to go into a place that is kept for a large gang.
-const RESERVED: u64 = 1 << 20;
+const RESERVED_COST: u64 = 1 << 20;
 /// Cells that are tried in full.
 const MAX_CELLS: usize = 256;
 
@@ -209,7 +209,7 @@
 
 #[expect(clippy::too_many_arguments, reason = "one search, told apart by its bounds")]
 /// Clears one group: frees the cheapest gangs until the demand fits, then sees who really yields.
-fn clear(
+fn clear_group(
     fleet: &Fleet,
     yielding: &BTreeMap<FencingToken, &Gang>,
     members: &[WorkerIndex],
@@ -293,7 +293,7 @@
                 continue;
             }
             if let Some(gang) = fleet.gangs.get(&holder.token).filter(|gang| yields(gang)) {
-                victims.insert(holder.token, how(gang, parts));
+                victims.insert(holder.token, choose_yield(gang, parts));
             }
         }
     }
@@ -301,7 +301,7 @@
 }
 
 /// Shrinks a gang where it can run on with what is left, checkpoints it where it can, or stops it.
-pub(crate) fn how(gang: &Gang, taken: &[IndexedPart]) -> Yield {
+pub(crate) fn choose_yield(gang: &Gang, taken: &[IndexedPart]) -> Yield {
     let keep: Vec<IndexedPart> = gang
         .parts
         .iter()
--- a/crates/rampbay-core/src/tables.rs
+++ b/crates/rampbay-core/src/tables.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    guarantee::{CellBook, CellIndex, Geometry},
+    guarantee::{CellIndex, Geometry, GuaranteeCells},
     ids::{FencingToken, JobId, WorkerId, WorkerIndex, WorkspaceId, WorkspaceIndex},
     job::{Adjacency, Class, JobSpec},
     knobs::Knobs,
@@ -33,7 +33,7 @@
     /// Devices of gangs that are borrowed and reclaimable.
     pub lent: DeviceMask,
     /// Devices kept for one job.
-    pub earmarked: DeviceMask,
+    pub reserved: DeviceMask,
     /// Places on it that guaranteed cells are bound to.
     pub bound: Vec<BoundPart>,
     pub cores_used: u32,
@@ -47,7 +47,7 @@
     pub devices: DeviceMask,
     pub lent: bool,
     /// Whether its work is lost when it stops.
-    pub fixed: bool,
+    pub loses_work: bool,
 }
 
 /// A worker's part of a bound cell.
@@ -72,10 +72,11 @@
 
     /// What it costs to take back all that is lent here: work that is lost counts more.
     pub fn cost_of_lent(&self) -> u32 {
-        const MOVE: u32 = 6;
-        const LOSE: u32 = 24;
+        const MOVE_COST: u32 = 6;
+        const LOST_WORK_COST: u32 = 24;
         let lent = self.holders.iter().filter(|holder| holder.lent);
-        lent.map(|h| h.devices.count_ones() * if h.fixed { LOSE } else { MOVE }).sum()
+        lent.map(|h| h.devices.count_ones() * if h.loses_work { LOST_WORK_COST } else { MOVE_COST })
+            .sum()
     }
 
     /// Devices that any unbound cell may be placed on.
@@ -166,7 +167,7 @@
             holders: Vec::new(),
             used: 0,
             lent: 0,
-            earmarked: 0,
+            reserved: 0,
             bound: Vec::new(),
             cores_used: 0,
             memory_used: 0,
@@ -285,7 +286,7 @@
     /// Part of the guarantee that no gang uses.
     pub unused: Shape,
     /// Which cells of the guarantee are in use, and where.
-    pub cells: CellBook,
+    pub cells: GuaranteeCells,
     /// Workers that its cells are bound to.
     pub bound_workers: BTreeSet<WorkerIndex>,
     pub borrowed_devices: u32,
@@ -345,7 +346,7 @@
             knobs: Knobs::default(),
             gangs: BTreeSet::new(),
             unused: Shape::EMPTY,
-            cells: CellBook::default(),
+            cells: GuaranteeCells::default(),
             bound_workers: BTreeSet::new(),
             borrowed_devices: 0,
             held_devices: 0,
@@ -363,7 +364,7 @@
     pub fn change_cells<T>(
         &mut self,
         index: WorkspaceIndex,
-        edit: impl FnOnce(&mut CellBook) -> T,
+        edit: impl FnOnce(&mut GuaranteeCells) -> T,
     ) -> T {
         let row = &mut self.rows[index];
         self.unlent_devices -= unlent(row.unused, row.knobs.lend_limit);
--- a/crates/rampbay-core/tests/invariants.rs
+++ b/crates/rampbay-core/tests/invariants.rs
@@ -83,7 +83,7 @@
 }
 
 /// Drives a planner as the workers would.
-struct Drive {
+struct Driver {
     planner: Planner,
     now: Duration,
     jobs: Vec<JobId>,
@@ -93,7 +93,7 @@
     submitted: usize,
 }
 
-impl Drive {
+impl Driver {
     fn new() -> Self {
         let mut planner = Planner::new(3);
         for at in 0..10 {
@@ -113,7 +113,7 @@
         }
     }
 
-    fn take(&mut self, event: &Event) {
+    fn apply(&mut self, event: &Event) {
         self.now += Duration::from_millis(10);
         match *event {
             Event::Submit { workspace, size, class, repeatable, checkpoint, elastic } => {
@@ -158,11 +158,11 @@
             }
             Event::Wait(millis) => self.now += Duration::from_millis(millis),
         }
-        self.settle();
+        self.tick_until_idle();
     }
 
     /// Ticks until nothing more is decided; every command is carried out at once.
-    fn settle(&mut self) {
+    fn tick_until_idle(&mut self) {
         for _ in 0..40 {
             let commands = self.planner.tick(self.now);
             if commands.is_empty() {
@@ -179,9 +179,9 @@
     fn carry_out(&mut self, command: Command) {
         match command {
             Command::Start { job, meta, placement } => {
-                let spec_devices = placement_devices(&placement);
-                assert_eq!(spec_devices, meta.gang_devices, "a gang starts whole");
-                assert!(spec_devices >= meta.min_devices);
+                let devices = placement_devices(&placement);
+                assert_eq!(devices, meta.gang_devices, "a gang starts whole");
+                assert!(devices >= meta.min_devices);
                 self.planner.started(&job, self.now);
                 self.gangs.insert(job, (meta, placement));
             }
@@ -218,47 +218,47 @@
     #![proptest_config(config(300))]
 
     #[test]
-    fn tick_any_events_counts_stay_true(events in events()) {
-        let mut drive = Drive::new();
+    fn tick_any_events_device_counts_stay_correct(events in events()) {
+        let mut driver = Driver::new();
         for event in &events {
-            drive.take(event);
-            let lost: u32 = if drive.lost.is_empty() { 0 } else { 80 };
-            let used = drive.planner.present_devices() - drive.planner.free_devices();
+            driver.apply(event);
+            let lost: u32 = if driver.lost.is_empty() { 0 } else { 80 };
+            let used = driver.planner.present_devices() - driver.planner.free_devices();
             if lost == 0 {
-                prop_assert_eq!(used, drive.held(), "devices are counted once each");
+                prop_assert_eq!(used, driver.held(), "devices are counted once each");
             }
         }
     }
 
     #[test]
     fn tick_without_losses_guarantees_stay_reclaimable(events in events()) {
-        let mut drive = Drive::new();
-        let steady = |event: &&Event| !matches!(event, Event::Lose(_) | Event::Edit { .. });
-        for event in events.iter().filter(steady) {
-            drive.take(event);
-            prop_assert!(drive.planner.missing_cells().is_empty(), "short of {}", drive.planner.missing_cells());
+        let mut driver = Driver::new();
+        let allowed = |event: &&Event| !matches!(event, Event::Lose(_) | Event::Edit { .. });
+        for event in events.iter().filter(allowed) {
+            driver.apply(event);
+            prop_assert!(driver.planner.missing_cells().is_empty(), "short of {}", driver.planner.missing_cells());
         }
     }
 
     #[test]
     fn tick_owned_job_starts_at_once_whatever_runs(events in events(), workspace in 0..4usize) {
-        let mut drive = Drive::new();
-        let steady = |event: &&Event| !matches!(event, Event::Lose(_) | Event::Edit { .. });
-        for event in events.iter().filter(steady) {
-            drive.take(event);
+        let mut driver = Driver::new();
+        let allowed = |event: &&Event| !matches!(event, Event::Lose(_) | Event::Edit { .. });
+        for event in events.iter().filter(allowed) {
+            driver.apply(event);
         }
-        // What is left of the guarantee, asked for as its largest cell, starts within one settle.
-        let views = drive.planner.workspaces();
+        // What is left of the guarantee, asked for as its largest cell, starts within one tick_until_idle.
+        let views = driver.planner.workspaces();
         let view = views.iter().find(|view| &*view.workspace == NAMES[workspace]).expect("row");
         let largest = [24, 8, 4, 2, 1]
             .into_iter()
             .find(|size| view.unused.holds(&rampbay_core::shape::Shape::tightest(*size)));
         if let Some(devices) = largest {
             let spec = JobSpec::new("owner", NAMES[workspace]).class(Class::Urgent);
-            drive.planner.submit(spec.gang(GangSpec::new(devices)), drive.now).expect("taken");
-            drive.settle();
-            let runs = drive.gangs.contains_key("owner");
-            let why = drive.planner.explain("owner", drive.now);
+            driver.planner.submit(spec.gang(GangSpec::new(devices)), driver.now).expect("job accepted");
+            driver.tick_until_idle();
+            let runs = driver.gangs.contains_key("owner");
+            let why = driver.planner.explain("owner", driver.now);
             prop_assert!(runs, "{devices} devices of {}: {why:?}", view.unused);
         }
     }
@@ -266,11 +266,11 @@
     #[test]
     fn tick_same_events_same_decisions(events in events()) {
         let run = || {
-            let mut drive = Drive::new();
+            let mut driver = Driver::new();
             for event in &events {
-                drive.take(event);
+                driver.apply(event);
             }
-            drive.log
+            driver.log
         };
         prop_assert_eq!(run(), run());
     }
@@ -283,7 +283,7 @@
     planner.set_workspace("large", Knobs::default());
     let start = Duration::from_secs(10);
     let spec = JobSpec::new("job", "large").gang(GangSpec::new(8));
-    planner.submit(spec, start).expect("taken");
+    planner.submit(spec, start).expect("job accepted");
     assert_eq!(planner.tick(start).len(), 1);
     planner.start_refused("job", start);
     assert!(planner.tick(start).is_empty(), "a pause comes first");
@@ -298,7 +298,7 @@
     planner.set_workspace("large", Knobs::default());
     let start = Duration::from_secs(10);
     let spec = JobSpec::new("job", "large").gang(GangSpec::new(8));
-    planner.submit(spec, start).expect("taken");
+    planner.submit(spec, start).expect("job accepted");
     let Some(Command::Start { meta, .. }) = planner.tick(start).pop() else { panic!("no start") };
     planner.started("job", start);
     planner.stopped(meta.token, start * 2);
--- a/crates/rampbay-core/tests/shapes.rs
+++ b/crates/rampbay-core/tests/shapes.rs
@@ -2,7 +2,7 @@
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use rampbay_core::{
-    guarantee::{CellBook, CellIndex, Geometry, worker_cells},
+    guarantee::{CellIndex, Geometry, GuaranteeCells, worker_cells},
     knobs::Knobs,
     shape::{Level, Shape},
 };
@@ -98,14 +98,14 @@
     #[case] gangs: &[(usize, u64)],
     #[case] owned: &[bool],
 ) {
-    let mut cells = CellBook::new(guarantee);
+    let mut cells = GuaranteeCells::new(guarantee);
     let claims = gangs.iter().map(|gang| cells.claim(&[*gang], Level::Device, &Racks).is_some());
     assert_eq!(claims.collect::<Vec<_>>(), owned);
 }
 
 #[test]
 fn claim_part_of_a_rack_binds_the_whole_cell() {
-    let mut cells = CellBook::new("1 rack".parse().expect("shape"));
+    let mut cells = GuaranteeCells::new("1 rack".parse().expect("shape"));
     assert_eq!(cells.claim(&[(4, 0x0f)], Level::Device, &Racks), Some(Level::Rack));
     assert!(cells.unbound().is_empty());
     assert_eq!(cells.bindings()[0].region, [(3, 0xff), (4, 0xff), (5, 0xff)]);
@@ -115,7 +115,7 @@
 #[test]
 fn release_last_gang_of_a_cell_unbinds_it() {
     let rack: Shape = "1 rack".parse().expect("shape");
-    let mut cells = CellBook::new(rack);
+    let mut cells = GuaranteeCells::new(rack);
     cells.claim(&[(4, 0x0f)], Level::Device, &Racks);
     cells.claim(&[(3, 0x01)], Level::Device, &Racks);
     cells.release(&[(4, 0x0f)]);
@@ -126,7 +126,7 @@
 
 #[test]
 fn reshape_smaller_guarantee_drops_the_latest_binding() {
-    let mut cells = CellBook::new("2 worker".parse().expect("shape"));
+    let mut cells = GuaranteeCells::new("2 worker".parse().expect("shape"));
     cells.claim(&[(0, 0xff)], Level::Device, &Racks);
     cells.claim(&[(5, 0xff)], Level::Device, &Racks);
     cells.reshape("1 worker".parse().expect("shape"));
--- a/crates/rampbay-table/src/state.rs
+++ b/crates/rampbay-table/src/state.rs
@@ -192,8 +192,8 @@
         version: Option<TableVersion>,
         void: Option<String>,
     ) {
-        const KEPT: usize = 512;
-        if self.history.len() >= KEPT {
+        const MAX_HISTORY_ROWS: usize = 512;
+        if self.history.len() >= MAX_HISTORY_ROWS {
             self.history.pop_front();
         }
         self.history.push_back(HistoryRow {
