--- a/crates/rampbay-core/src/ids.rs
+++ b/crates/rampbay-core/src/ids.rs
@@ -12,7 +12,7 @@
 pub type UpstreamId = Arc<str>;
 /// A process's name, from its settings.
 pub type ProcessId = Arc<str>;
-/// A number that each start of a process draws anew.
+/// A number that identifies one start of a process; drawn anew at each start.
 pub type Incarnation = u64;
 /// A row index into the planner's table of workers.
 pub type WorkerIndex = usize;
--- a/crates/rampbay-core/src/job.rs
+++ b/crates/rampbay-core/src/job.rs
@@ -17,7 +17,7 @@
     /// The usual class.
     #[default]
     Normal,
-    /// Gives way first.
+    /// The first to yield its devices.
     Batch,
 }
 
@@ -62,7 +62,7 @@
     /// Memory for each device, in MiB.
     #[serde(default)]
     pub memory_mib_per_device: u32,
-    /// Whether the work can be checkpointed and go on later.
+    /// Whether the work can be checkpointed and resumed later.
     #[serde(default)]
     pub checkpointable: bool,
     /// How long the caller expects the work to run, in milliseconds; a hint for backfill.
@@ -143,7 +143,7 @@
     /// Whether it may be stopped for the owner of borrowed devices although it isn't repeatable.
     #[serde(default)]
     pub may_be_stopped: bool,
-    /// Time from arrival until the caller has no more use for the answer, in milliseconds.
+    /// Time from arrival after which the caller no longer needs the answer, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
     /// The gang that it needs; absent means that it needs an upstream's slot only.
--- a/crates/rampbay-core/src/knobs.rs
+++ b/crates/rampbay-core/src/knobs.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Knobs {
-    /// Shape that the workspace can always have back.
+    /// Shape that the workspace can always reclaim.
     pub guarantee: Shape,
     /// Share among borrowers, relative to the other workspaces' weights.
     pub weight: u32,
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every knob that is out of its range, so that an operator can mend all at once.
+    /// Returns every knob that is out of its range, so that an operator can correct all at once.
     pub fn check(&self) -> Result<(), Vec<KnobError>> {
         let mut errors = Vec::new();
         let mut range = |knob, value: u64, low: u64, high: u64, expected| {
--- a/crates/rampbay-core/src/lease.rs
+++ b/crates/rampbay-core/src/lease.rs
@@ -1,4 +1,4 @@
-//! What holds devices: a lease for each part of a gang, described by what it is for.
+//! Metadata of leases on devices; each part of a gang has one lease.
 
 use std::time::Duration;
 
@@ -10,8 +10,10 @@
     shape::Level,
 };
 
-/// What a lease is for; travels as the lease's metadata, so that the workers themselves are the
-/// record of what runs.
+/// The metadata that describes what a lease is for.
+///
+/// The workers store it with the lease, so that the set of running gangs can be read back from
+/// them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseMeta {
     /// The job.
@@ -30,7 +32,7 @@
     pub min_devices: u32,
     /// The largest level of guaranteed cell that the gang was started in; absent if it borrows.
     pub cell: Option<Level>,
-    /// Whether the gang may be stopped for an owner.
+    /// Whether the gang may be stopped to return its devices to their owner.
     pub reclaimable: bool,
     /// Whether the work can be checkpointed.
     pub checkpointable: bool,
--- a/crates/rampbay-core/src/lib.rs
+++ b/crates/rampbay-core/src/lib.rs
@@ -1,8 +1,9 @@
 //! The decision core of rampbay.
 //!
-//! It decides which gang of accelerators runs where and when, and which borrowed capacity goes
-//! back to its owner. It does no input or output: time is passed in, and what it decides comes
-//! out as typed [`Command`](plan::Command)s, with a [`Reason`](reason::Reason) for each job.
+//! The crate decides which gang of accelerators runs where and when, and which borrowed devices
+//! are returned to their owner. It performs no I/O: the caller passes the time in, and decisions
+//! are returned as typed [`Command`](plan::Command)s, with a [`Reason`](reason::Reason) for each
+//! job.
 //!
 //! # A first example
 //!
@@ -24,11 +25,11 @@
 //! - [`shape`]: guaranteed shapes, and the arithmetic of cells that splits and counts them.
 //! - [`knobs`]: one row of the table of weights and limits.
 //! - [`topology`]: workers in racks in failure domains, and their devices.
-//! - [`lease`]: what holds devices.
+//! - [`lease`]: the metadata of a lease on devices.
 //! - [`guarantee`]: which leases are owned, which borrowed, and whether every guarantee can be
 //!   reclaimed.
 //! - [`place`]: where a gang goes.
-//! - [`reclaim`]: which leases give way.
+//! - [`reclaim`]: which running gangs yield their devices.
 //! - [`plan`]: the tables and the systems that run over them each tick.
 //! - [`reason`]: why a job is in its state.
 
--- a/crates/rampbay-core/src/reason.rs
+++ b/crates/rampbay-core/src/reason.rs
@@ -1,4 +1,4 @@
-//! Why a job is in its state, typed, for `rampctl explain` and the time line.
+//! Typed reasons for a job's state, shown by `rampctl explain` and in the timeline.
 
 use std::fmt;
 
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "reason")]
 pub enum Reason {
-    /// It has just arrived and no tick has seen it.
+    /// The job has just arrived; no tick has considered it yet.
     Queued,
     /// No place has enough free devices.
     NoRoom {
@@ -25,7 +25,7 @@
         /// Most devices that are free within one such place.
         best: u32,
     },
-    /// There is room, but taking it would leave a guarantee that can't be reclaimed.
+    /// Enough devices are free, but with the job on them a guarantee couldn't be reclaimed.
     ProtectsGuarantee {
         /// Cells that would be missing.
         short: Shape,
@@ -42,54 +42,54 @@
         /// The limit, in gangs.
         limit: u32,
     },
-    /// Others may hold no more of what the owners lend.
+    /// The job would take devices that the owners' `lend_limit`s keep free.
     LendLimit {
-        /// Devices that are free and lent out at most.
+        /// Free devices that the owners still lend.
         lendable: u32,
     },
-    /// It isn't reclaimable, so it may not start on borrowed devices.
+    /// The job isn't reclaimable, so it may not start on borrowed devices.
     NeedsOwnCells,
     /// Free devices are kept for a large gang that has waited longer.
     BehindReservation {
         /// The job that they are kept for.
         job: JobId,
     },
-    /// Devices are being taken back for it.
+    /// Devices are being reclaimed for the job.
     Reclaiming {
-        /// Jobs that shrink, checkpoint or stop for it.
+        /// Jobs that shrink, checkpoint or stop for this job.
         from: Vec<JobId>,
     },
     /// Devices are being held and committed on the workers.
     Starting,
-    /// It runs.
+    /// The job runs.
     Running {
         /// Devices that it has.
         devices: u32,
         /// Whether part of them is borrowed.
         borrowed: bool,
     },
-    /// It gave devices back and runs on.
+    /// The job returned some devices and continues on the others.
     ShrunkFor {
         /// The job that needed them.
         job: JobId,
         /// Devices that it has left.
         devices: u32,
     },
-    /// It was checkpointed or stopped so that an owner got its devices back, and waits again.
+    /// The job was checkpointed or stopped to free its devices for another job, and waits again.
     StoppedFor {
         /// The job that needed them.
         job: JobId,
         /// The workspace of that job.
         workspace: WorkspaceId,
     },
-    /// A worker refused part of its gang; it is tried again.
+    /// A worker refused part of the job's gang; the start is retried.
     StartRefused {
-        /// How often it was refused so far.
+        /// Number of refusals so far.
         times: u32,
     },
-    /// Its gang was lost with a worker or a lapsed lease, and it waits again.
+    /// The job's gang was lost with a worker or an expired lease, and the job waits again.
     Lost,
-    /// No place of this fleet could ever hold it.
+    /// No place in this fleet is large enough for the gang.
     Impossible {
         /// Devices that it needs.
         need: u32,
--- a/crates/rampbay-core/src/shape.rs
+++ b/crates/rampbay-core/src/shape.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the level's word in the table.
+    /// Returns the level's name as written in the table.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -71,7 +71,7 @@
     }
 }
 
-/// A multiset of cells: what a workspace is guaranteed, or what a gang takes up.
+/// A multiset of cells: what a workspace is guaranteed, or what a gang occupies.
 ///
 /// ```
 /// use rampbay_core::shape::{Level, Shape};
@@ -105,7 +105,7 @@
     /// The shape without cells.
     pub const EMPTY: Shape = Shape { cells: [0; 5] };
 
-    /// Returns the cells that a gang takes up when it is placed as tightly as can be.
+    /// Returns the cells that a gang occupies in the tightest possible placement.
     #[must_use]
     pub fn tightest(devices: u32) -> Self {
         let mut left = devices;
@@ -149,7 +149,7 @@
         self.cells == [0; 5]
     }
 
-    /// Returns this shape with one cell of `level` less; it must have one.
+    /// Returns this shape with one cell of `level` less; the shape must contain one.
     #[must_use]
     pub(crate) const fn without_one(mut self, level: Level) -> Self {
         self.cells[level.index()] -= 1;
--- a/crates/rampbay-core/src/topology.rs
+++ b/crates/rampbay-core/src/topology.rs
@@ -7,12 +7,12 @@
 /// Devices of one worker as a set of bits; bit 0 is device 0.
 pub type DeviceMask = u64;
 
-/// What a worker has and where it stands.
+/// A worker's resources and its location.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerSpec {
     /// The worker's name.
     pub id: WorkerId,
-    /// The rack that it stands in; unique over all failure domains.
+    /// The name of the worker's rack; unique over all failure domains.
     pub rack: String,
     /// The failure domain.
     pub failure_domain: String,
