--- a/crates/rampbay-core/src/fleet.rs
+++ b/crates/rampbay-core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet: workers, workspaces and the gangs that run, kept in step with each other.
+//! The fleet: workers, workspaces and the running gangs, kept consistent with each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,9 +14,9 @@
 /// How a gang that is inserted counts against its workspace's guarantee.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Claim {
-    /// It takes cells if it fits into them.
+    /// The gang takes cells if it fits into them.
     IfItFits,
-    /// It was started in a cell of this level, or borrowed, as its lease says.
+    /// The gang was started in a cell of this level, or borrows (`None`), as its lease says.
     AsLeased(Option<Level>),
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// The running gangs and the masks that they leave on workers and workspaces.
+/// The running gangs, with the tables of workers and workspaces that account for their devices.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Fleet {
     pub workers: WorkerTable,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes a gang out; cells that nothing uses any more are unbound.
+    /// Removes a gang; cells without used devices are unbound.
     pub fn remove(&mut self, token: FencingToken) -> Option<Gang> {
         let gang = self.gangs.remove(&token)?;
         self.mark(&gang, false);
@@ -83,7 +83,7 @@
         Some(gang)
     }
 
-    /// Sets a workspace's knobs; gangs whose cells are gone with the old ones are borrowed.
+    /// Sets a workspace's knobs; gangs whose cells exceed the new guarantee count as borrowed.
     pub fn set_knobs(&mut self, workspace: WorkspaceIndex, knobs: Knobs) {
         let guarantee = knobs.guarantee;
         self.workspaces.set_knobs(workspace, knobs);
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Marks a workspace's bound cells on the workers where they lie.
+    /// Records a workspace's bound cells on the workers that they are bound to.
     fn place_bindings(&mut self, workspace: WorkspaceIndex) {
         let bindings: Vec<Binding> = self.workspaces.rows[workspace].cells.bindings().to_vec();
         let before = std::mem::take(&mut self.workspaces.rows[workspace].bound_workers);
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Stops counting a gang's devices as lent: they are on their way to one owner already.
+    /// Stops counting a gang's devices as lent, because they are already being reclaimed for a job.
     pub fn withdraw_lent(&mut self, token: FencingToken) {
         let Some(gang) = self.gangs.get(&token) else {
             return;
@@ -185,14 +185,14 @@
 
     /// Returns the cells that are missing for all guarantees, empty if none is.
     ///
-    /// Unbound cells must all fit at once into what is free or lent; of a bound cell, what its
-    /// owner doesn't use must be free or lent in its place.
+    /// All unbound cells must fit at once into free or lent devices. The devices of a bound cell
+    /// that its owner doesn't use must be free or lent themselves.
     pub fn missing_cells(&self) -> Shape {
         let missing = self.workers.cells.missing(&self.workspaces.unbound);
         missing.with(Level::Device, self.workers.violated)
     }
 
-    /// Turns rows of workers into their names.
+    /// Converts parts by worker row into a placement by worker name.
     pub fn placement(&self, parts: &[(WorkerIndex, DeviceMask)]) -> Placement {
         parts
             .iter()
--- a/crates/rampbay-core/src/guarantee.rs
+++ b/crates/rampbay-core/src/guarantee.rs
@@ -1,9 +1,9 @@
 //! Which leases are owned, which are borrowed, and whether every guarantee can be reclaimed.
 //!
-//! A gang is owned if it was started in cells of its workspace's guarantee; its lease says in
-//! which level of cell, so that every planner that reads the leases comes to the same answer. How
-//! much a guarantee has left, and whether that can be reclaimed, is derived from the table and the
-//! leases, so that an edit of the table takes effect on gangs that already run.
+//! A gang is owned if it was started in cells of its workspace's guarantee. Its lease records the
+//! level of those cells, so that every planner that reads the leases gets the same result. The
+//! unused part of a guarantee, and whether it can be reclaimed, are derived from the table and the
+//! leases, so that an edit of the table also applies to gangs that already run.
 
 use crate::{
     ids::WorkerIndex,
@@ -13,7 +13,7 @@
 
 const CHUNK: u32 = DEVICES_PER_WORKER;
 
-/// Cells of one worker's devices below the level of a rack, counted largest first.
+/// Numbers of cells on one worker, up to a whole worker; a device counts in its largest cell only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct WorkerCells {
     /// Single devices, pairs, quads and whole workers.
@@ -109,7 +109,7 @@
     }
 }
 
-/// Where cells lie in the fleet.
+/// The position of cells in the fleet.
 pub trait Geometry {
     /// Returns the three workers of the rack cell that a worker belongs to, if it belongs to one.
     fn rack_cell(&self, worker: WorkerIndex) -> Option<[WorkerIndex; WORKERS_PER_RACK as usize]>;
@@ -118,14 +118,14 @@
 /// One cell of a guarantee that is in use, and the place that it is bound to.
 ///
 /// A cell is bound as a whole as soon as a part of it is used: the rest of a guaranteed rack must
-/// be had in the same rack when the owner asks for it, whichever of its gangs end first.
+/// be available in the same rack when the owner asks for it, whichever gangs in it end first.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Binding {
     /// The cell's level.
     pub level: Level,
     /// Workers and devices of the place.
     pub region: Vec<(WorkerIndex, DeviceMask)>,
-    /// Those of them that the owner's gangs use, in the region's order.
+    /// The devices that the owner's gangs use, one mask for each entry of `region`.
     pub used: Vec<DeviceMask>,
 }
 
@@ -143,8 +143,9 @@
 
 /// The cells of one workspace's guarantee: which are bound to a place, and which are free to be.
 ///
-/// A binding stays where it is until the last gang in it ends. Were it derived anew from the gangs
-/// that are left, it could move to a place whose rest is not to be had; a property test found that.
+/// A binding stays in its place until the last gang in it ends. Deriving it anew from the remaining
+/// gangs could move it to a place whose other devices can't be reclaimed; a property test found
+/// this fault.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct GuaranteeCells {
     guarantee: Shape,
@@ -153,7 +154,7 @@
 }
 
 impl GuaranteeCells {
-    /// Creates the book of a guarantee of which nothing is in use.
+    /// Creates the cells of a guarantee, all of them unbound.
     #[must_use]
     pub const fn new(guarantee: Shape) -> Self {
         Self { guarantee, unbound: guarantee, bindings: Vec::new() }
@@ -171,7 +172,7 @@
         &self.bindings
     }
 
-    /// Returns all that is left of the guarantee, in bound and unbound cells.
+    /// Returns the unused part of the guarantee, in bound and unbound cells.
     #[must_use]
     pub fn unused(&self) -> Shape {
         let mut shape = self.unbound;
@@ -191,7 +192,7 @@
     /// Claims cells for a gang: each part must lie in a cell that is bound already, or bind one.
     ///
     /// Cells smaller than `min_level` aren't bound. Returns the largest level that was used, or
-    /// nothing if the gang doesn't fit; the book is unchanged then.
+    /// `None` if the gang doesn't fit; the cells are unchanged then.
     pub fn claim(
         &mut self,
         parts: &[(WorkerIndex, DeviceMask)],
@@ -214,7 +215,7 @@
         Some(largest)
     }
 
-    /// Gives back what a gang's parts used; a cell that nothing uses any more is unbound.
+    /// Releases the devices of a gang's parts; a cell without used devices is unbound.
     pub fn release(&mut self, parts: &[(WorkerIndex, DeviceMask)]) {
         for binding in &mut self.bindings {
             for ((at, _), used) in binding.region.iter().zip(&mut binding.used) {
@@ -232,8 +233,8 @@
         }
     }
 
-    /// Changes the guarantee. Bindings that it has no cell for any more are dropped, the latest
-    /// first; the gangs in them are borrowed from then on.
+    /// Changes the guarantee. Bindings that exceed the new guarantee are dropped, the latest first;
+    /// the gangs in them count as borrowed from then on.
     pub fn reshape(&mut self, guarantee: Shape) {
         self.guarantee = guarantee;
         let mut left = guarantee;
@@ -280,7 +281,7 @@
         None
     }
 
-    /// Binds the smallest cell that is left and holds the devices.
+    /// Binds the smallest unbound cell that contains the devices.
     fn bind(
         &mut self,
         worker: WorkerIndex,
@@ -325,7 +326,7 @@
     }
 }
 
-/// Splits devices by aligned worker cells.
+/// Splits a mask into aligned groups of `CHUNK` devices and leaves out empty groups.
 fn chunks(devices: DeviceMask) -> impl Iterator<Item = DeviceMask> {
     (0..DeviceMask::BITS)
         .step_by(CHUNK as usize)
@@ -333,7 +334,7 @@
         .filter(|chunk| *chunk != 0)
 }
 
-/// Returns the aligned block of `size` devices that holds all of `devices`, if one does.
+/// Returns the aligned block of `size` devices that contains all of `devices`, if there is one.
 #[must_use]
 pub fn block_of(size: u32, devices: DeviceMask) -> Option<DeviceMask> {
     let start = devices.trailing_zeros() / size * size;
--- a/crates/rampbay-core/src/place.rs
+++ b/crates/rampbay-core/src/place.rs
@@ -29,27 +29,28 @@
 pub(crate) struct Preference {
     /// 0 takes the first place that fits, 100 the one that breaks the fewest large cells.
     pub packing: u32,
-    /// Where the scan starts, so that two planners differ.
+    /// Where the scan starts; planners with different offsets try different places first.
     pub offset: usize,
-    /// Failure domains, by row, that other planners look after; dearer, but not closed.
+    /// Failure domains that other planners are responsible for, as bits of [`domain_bit`]; they
+    /// cost more but are allowed.
     pub other_domains: u64,
-    /// What the gang that is placed means to guarantees.
+    /// How the placed gang affects guarantees.
     pub impact: GuaranteeImpact,
 }
 
-/// What a gang that is placed means to guarantees.
+/// How a placed gang affects guarantees.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) enum GuaranteeImpact {
-    /// Nothing that is known.
+    /// No known effect.
     #[default]
     None,
-    /// It borrows: it will have to go where an owner is active, and what it has done by then may
-    /// be lost.
+    /// The gang borrows: it will have to yield where an owner is active, and its work up to then
+    /// may be lost.
     Borrows {
-        /// Whether its work can be checkpointed.
+        /// Whether the gang's work can be checkpointed.
         checkpointable: bool,
     },
-    /// It will bind a new cell of this level: whoever has borrowed there will have to go.
+    /// The gang binds a new cell of this level: gangs that borrow devices there will have to yield.
     Binds(Level),
 }
 
@@ -58,24 +59,24 @@
 pub(crate) enum Found {
     /// Parts with exactly the devices asked for.
     Place(Vec<IndexedPart>),
-    /// No group has room; the most usable devices within one group.
+    /// No group has enough usable devices; `best` is the largest number within one group.
     NoRoom { best: u32 },
 }
 
-/// What it costs to plan into a failure domain that another planner looks after: more than an
-/// untidy fit, less than a broken worker cell.
+/// Cost of a place in a failure domain that another planner is responsible for: more than a poor
+/// fit, less than a broken worker cell.
 const OTHER_DOMAIN_COST: u32 = 128;
 
-/// A search ends after this many groups that have room and are no cheaper. Today's fleets have
-/// fewer groups than that.
+/// A search ends after this many successive groups that have enough devices but are no cheaper than
+/// the best one. Current fleets have fewer groups.
 const GROUPS_WITHOUT_GAIN: u32 = 64;
 
-/// Returns the bit of a failure domain; with more than 64 of them several share one.
+/// Returns the bit of a failure domain; in a fleet of more than 64, several share one bit.
 pub(crate) const fn domain_bit(failure_domain: usize) -> u64 {
     1 << (failure_domain % 64)
 }
 
-/// Packing up to this value takes the first group that fits.
+/// Largest value of the `packing` knob at which a search takes the first group that fits.
 const FIRST_FIT_PACKING: u32 = 10;
 
 /// Finds a place for `devices` devices of a demand's kind.
@@ -172,7 +173,7 @@
         if free < devices {
             continue;
         }
-        // Leftover devices are part of the cost, so that such a group can't be cheaper.
+        // Leftover devices are part of the cost, so a group with this many can't be cheaper.
         if best.as_ref().is_some_and(|(lowest, _)| free - devices >= *lowest) {
             continue;
         }
@@ -203,7 +204,7 @@
     }
 }
 
-/// Leaves out devices for which the box has too few free cores or too little free memory.
+/// Limits the devices to those for which the box has enough free cores and memory.
 fn limit_by_box(row: &WorkerRow, demand: &Demand, mask: DeviceMask) -> DeviceMask {
     let by_cores = (row.spec.cores.saturating_sub(row.cores_used)).checked_div(demand.cores);
     let by_memory =
@@ -212,7 +213,7 @@
     if mask.count_ones() <= most { mask } else { pick(mask, most) }
 }
 
-/// Chooses devices within one group that has enough: whole workers first, then the best fit.
+/// Chooses devices within a group that has enough of them: whole workers first, then the best fit.
 fn choose(candidates: &mut [IndexedPart], devices: u32, offset: usize) -> Vec<IndexedPart> {
     let count = candidates.len();
     candidates.rotate_left(offset % count.max(1));
@@ -240,7 +241,7 @@
 
 /// Picks `count` devices out of a mask, keeping large aligned cells whole.
 ///
-/// Takes the largest cell that is needed from the smallest cell that holds it.
+/// Repeatedly takes the largest cell that is still needed from the smallest free cell around it.
 pub(crate) fn pick(mask: DeviceMask, count: u32) -> DeviceMask {
     let mut left = mask;
     let mut taken = 0;
@@ -273,7 +274,7 @@
     best.map(|(_, here)| here)
 }
 
-/// Returns the size of the largest free aligned block around the one at `at`.
+/// Returns the size of the largest free aligned block that contains the block at `at`.
 fn enclosing_block(mask: DeviceMask, at: u32, size: u32) -> u32 {
     let mut enclosing = size;
     while enclosing < DEVICES_PER_WORKER {
@@ -296,7 +297,7 @@
     mask & !left
 }
 
-/// What a part costs for the guarantees that it touches.
+/// Returns the cost of a part for the guarantees that it affects.
 fn guarantee_cost(
     workers: &WorkerTable,
     (worker, devices): IndexedPart,
@@ -320,7 +321,7 @@
     }
 }
 
-/// What a place costs: cells that it breaks, and what it leaves of a rack that was whole.
+/// Returns the cost of a place: the cells that it breaks and the devices of the group left over.
 fn cost(workers: &WorkerTable, parts: &[IndexedPart], leftover: u32, usable: &impl Usable) -> u32 {
     const BROKEN_WORKER: u32 = 64;
     const BROKEN_QUAD: u32 = 8;
--- a/crates/rampbay-core/src/reclaim.rs
+++ b/crates/rampbay-core/src/reclaim.rs
@@ -1,4 +1,4 @@
-//! Which running gangs give way so that another gang can start.
+//! Chooses the running gangs that yield devices so that another gang can start.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,29 +13,29 @@
     topology::DeviceMask,
 };
 
-/// How a gang gives way, cheapest first.
+/// How a gang yields devices, cheapest first.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Yield {
-    /// It keeps these parts and runs on.
+    /// The gang keeps these parts and continues.
     Shrink { keep: Vec<IndexedPart> },
-    /// It is checkpointed, and goes on later.
+    /// The gang is checkpointed and resumed later.
     Checkpoint,
-    /// It is stopped, and starts anew later.
+    /// The gang is stopped and restarted from the beginning later.
     Stop,
 }
 
-/// Where the gang goes, and what gives way for it.
+/// The placement of a gang, and the gangs that yield devices for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Reclaim {
     pub parts: Vec<IndexedPart>,
     pub victims: BTreeMap<FencingToken, Yield>,
 }
 
-/// Returns whether a running gang may have to give way to a demand.
+/// Returns whether a running gang may have to yield to a demand.
 ///
-/// A borrowed gang gives way to an owner, and a batch one to urgent work. Within one workspace
-/// urgent work goes before the other classes, and work in the workspace's own cells before work of
-/// the same or a later class that borrows.
+/// A borrowed gang yields to an owner, and a borrowed batch gang also to urgent work. Within one
+/// workspace, urgent work takes precedence over the other classes, and work in the workspace's own
+/// cells over borrowing work of the same or a less urgent class.
 pub(crate) fn may_yield(gang: &Gang, demand: &Demand, demand_owned: bool) -> bool {
     if !gang.running || !gang.meta.reclaimable || gang.yields_to.is_some() {
         return false;
@@ -52,9 +52,10 @@
 /// Candidate groups whose costs are compared in full.
 const MAX_GROUPS: usize = 64;
 
-/// Finds the places that cost least to clear, over free devices and those that may yield.
+/// Finds places for a demand in its groups of workers, on free devices and those of gangs that may
+/// yield.
 ///
-/// The cheapest comes first.
+/// Returns the cheapest to clear first.
 pub(crate) fn group_plans(
     fleet: &Fleet,
     demand: &Demand,
@@ -75,17 +76,17 @@
             .iter()
             .filter(|holder| yielding.contains_key(&holder.token))
             .fold(0, |mask, holder| mask | holder.devices);
-        // A reservation keeps others out, but never an owner.
+        // A reservation excludes borrowers, but never an owner.
         let kept = if demand_owned { 0 } else { row.reserved };
         (row.free() | (yields & row.present)) & !kept
     };
-    let room = |members: &[WorkerIndex]| -> u32 {
+    let capacity = |members: &[WorkerIndex]| -> u32 {
         let rows = &fleet.workers.rows;
         members.iter().map(|index| available(*index, &rows[*index]).count_ones()).sum()
     };
     let mut found: Vec<(u64, Reclaim)> = groups(fleet, demand.adjacency)
         .into_iter()
-        .filter(|members| room(members) >= devices)
+        .filter(|members| capacity(members) >= devices)
         .take(MAX_GROUPS)
         .filter_map(|members| {
             clear_group(fleet, &yielding, &members, demand, devices, preference, &available, now)
@@ -95,10 +96,10 @@
     found.into_iter().map(|(_, reclaim)| reclaim).collect()
 }
 
-/// Finds single aligned cells that could be cleared for an owner's gang of at most a worker.
+/// Finds single aligned cells that could be cleared for an owner's gang of at most one worker.
 ///
-/// The cheapest comes first, those within the owner's bound cells before all others. Since every
-/// cell of the fleet is looked at, an owner that has a cell left finds one.
+/// Returns the cheapest first, and those within the owner's bound cells before all others. Every
+/// cell of the fleet is considered, so an owner that has a cell left finds one.
 pub(crate) fn cell_plans(
     fleet: &Fleet,
     demand: &Demand,
@@ -132,7 +133,7 @@
             let new_cell_cost = if chosen & !bound == 0 {
                 0
             } else {
-                // Binding a new cell puts all that is lent around it at risk.
+                // Once a new cell is bound, gangs that borrow in the rack cell may have to yield.
                 let around = &fleet.workers.rack_cells[row.rack_cell];
                 let lent = around.iter().map(|at| fleet.workers.rows[*at].cost_of_lent());
                 NEW_CELL_COST + u64::from(lent.sum::<u32>()) * LENT_COST_SECONDS
@@ -153,16 +154,17 @@
         .collect()
 }
 
-/// Dearer than any set of gangs on one worker.
+/// Cost of binding a new cell; higher than that of any set of gangs on one worker.
 const NEW_CELL_COST: u64 = 1 << 40;
-/// Seconds for each unit of what lending costs.
+/// Seconds for each unit of [`WorkerRow::cost_of_lent`].
 const LENT_COST_SECONDS: u64 = 60;
-/// What it costs to go into a place that is kept for a large gang.
+/// Cost of using devices that are reserved for a large gang.
 const RESERVED_COST: u64 = 1 << 20;
-/// Cells that are tried in full.
+/// Most candidate cells whose victims are determined.
 const MAX_CELLS: usize = 256;
 
-/// Returns a worker's devices that are free or would yield, and what a choice of them costs.
+/// Returns a worker's devices that are free or could be reclaimed, and a function that returns the
+/// cost of reclaiming a choice of them.
 fn clearable<'a>(
     fleet: &'a Fleet,
     row: &'a WorkerRow,
@@ -181,7 +183,7 @@
     (row.present & !taken, cost_of)
 }
 
-/// Picks devices of a block: bound ones first, then free ones, then those that yield.
+/// Picks devices of a block: those in bound cells first, then free ones, then those to reclaim.
 fn choose_in_block(
     mask: DeviceMask,
     free: DeviceMask,
@@ -207,8 +209,11 @@
     }
 }
 
-#[expect(clippy::too_many_arguments, reason = "one search, told apart by its bounds")]
-/// Clears one group: frees the cheapest gangs until the demand fits, then sees who really yields.
+#[expect(clippy::too_many_arguments, reason = "one search; the arguments are its bounds")]
+/// Finds a place in one group of workers and the gangs that have to yield for it.
+///
+/// Adds the devices of the cheapest gangs until the demand fits. Only gangs that hold devices of
+/// the resulting place yield.
 fn clear_group(
     fleet: &Fleet,
     yielding: &BTreeMap<FencingToken, &Gang>,
@@ -256,12 +261,12 @@
     }
 }
 
-/// What it costs that a gang gives way, in device-seconds of lost work, weighed by class.
+/// Returns the cost of a gang that yields, in device-seconds of lost work weighted by class.
 fn cost(gang: &Gang, now: Duration) -> u64 {
     const SHRINK_SECONDS: u64 = 1;
     const CHECKPOINT_SECONDS: u64 = 30;
     const RESTART_SECONDS: u64 = 60;
-    // A gang that stops waits again, and the larger it is the longer: for each device.
+    // A stopped gang waits again, and longer the larger it is; seconds for each device.
     const WAIT_SECONDS: u64 = 60;
     let devices = u64::from(gang.devices());
     let elapsed = now.saturating_sub(gang.meta.started).as_secs();
@@ -280,7 +285,7 @@
     seconds * class * devices
 }
 
-/// Returns the gangs that have devices in `parts` and yield, and how each gives way.
+/// Returns the gangs that hold devices in `parts` and may yield, and how each of them yields.
 fn victims(
     fleet: &Fleet,
     parts: &[IndexedPart],
@@ -300,7 +305,8 @@
     victims
 }
 
-/// Shrinks a gang where it can run on with what is left, checkpoints it where it can, or stops it.
+/// Chooses how a gang yields: it shrinks if it can run on the remaining devices, is checkpointed if
+/// it supports that, and is stopped otherwise.
 pub(crate) fn choose_yield(gang: &Gang, taken: &[IndexedPart]) -> Yield {
     let keep: Vec<IndexedPart> = gang
         .parts
--- a/crates/rampbay-core/src/tables.rs
+++ b/crates/rampbay-core/src/tables.rs
@@ -21,20 +21,20 @@
 pub(crate) struct WorkerRow {
     pub spec: WorkerSpec,
     pub rack: usize,
-    /// The row of the rack cell that it belongs to, and its place in that.
+    /// The row of the rack cell that the worker belongs to.
     pub rack_cell: usize,
     pub failure_domain: usize,
     /// Devices that exist and work.
     pub present: DeviceMask,
-    /// Which gang has which devices.
+    /// The gangs on this worker and the devices that each holds.
     pub holders: Vec<Holder>,
-    /// Devices that some gang has.
+    /// Devices that are held by any gang.
     pub used: DeviceMask,
-    /// Devices of gangs that are borrowed and reclaimable.
+    /// Devices of gangs that borrow them and are reclaimable.
     pub lent: DeviceMask,
-    /// Devices kept for one job.
+    /// Devices reserved for one job.
     pub reserved: DeviceMask,
-    /// Places on it that guaranteed cells are bound to.
+    /// Parts of the worker that guaranteed cells are bound to.
     pub bound: Vec<BoundPart>,
     pub cores_used: u32,
     pub memory_used: u32,
@@ -46,7 +46,7 @@
     pub token: FencingToken,
     pub devices: DeviceMask,
     pub lent: bool,
-    /// Whether its work is lost when it stops.
+    /// Whether the gang can't be checkpointed, so that its work is lost when it stops.
     pub loses_work: bool,
 }
 
@@ -59,18 +59,18 @@
 }
 
 impl WorkerRow {
-    /// Devices that some workspace's cells are bound to.
+    /// Returns the devices that any workspace's cells are bound to.
     pub fn bound_mask(&self) -> DeviceMask {
         self.bound.iter().fold(0, |mask, part| mask | part.region)
     }
 
-    /// Devices that workspaces other than one have cells bound to.
+    /// Returns the devices that cells of workspaces other than `workspace` are bound to.
     pub fn bound_by_others(&self, workspace: WorkspaceIndex) -> DeviceMask {
         let others = self.bound.iter().filter(|part| part.workspace != workspace);
         others.fold(0, |mask, part| mask | part.region)
     }
 
-    /// What it costs to take back all that is lent here: work that is lost counts more.
+    /// Returns the cost of reclaiming all lent devices of the worker; lost work counts more.
     pub fn cost_of_lent(&self) -> u32 {
         const MOVE_COST: u32 = 6;
         const LOST_WORK_COST: u32 = 24;
@@ -79,12 +79,12 @@
             .sum()
     }
 
-    /// Devices that any unbound cell may be placed on.
+    /// Returns the devices that any unbound cell may be bound to.
     fn open_to_cells(&self) -> DeviceMask {
         self.reclaimable() & !self.bound_mask()
     }
 
-    /// Devices of bound cells that their owner doesn't use and couldn't have back.
+    /// Returns the number of devices of bound cells that their owners don't use and can't reclaim.
     fn violated(&self) -> u32 {
         let used = self.bound.iter().fold(0, |mask, part| mask | part.used);
         let regions: u32 = self.bound.iter().map(|part| part.region.count_ones()).sum();
@@ -93,7 +93,10 @@
         (mask & !used & !self.reclaimable()).count_ones() + overlap
     }
 
-    /// Derives the masks from the holders, so that overlapping views leave nothing behind.
+    /// Recomputes the masks from the holders.
+    ///
+    /// Reported gangs may overlap on a device, so setting and clearing single bits would leave
+    /// wrong ones behind.
     pub fn derive_masks(&mut self) {
         self.used = self.holders.iter().fold(0, |mask, holder| mask | holder.devices);
         self.lent = self
@@ -107,13 +110,13 @@
         self.present & !self.used
     }
 
-    /// Devices that an owner can have: free ones and those lent out.
+    /// Returns the devices that an owner can get: free ones and those lent out.
     pub fn reclaimable(&self) -> DeviceMask {
         self.free() | (self.lent & self.present)
     }
 }
 
-/// All workers, with the groups that they stand in.
+/// All workers, with their racks, rack cells and failure domains.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct WorkerTable {
     pub rows: Vec<WorkerRow>,
@@ -125,7 +128,7 @@
     pub cells: CellIndex,
     /// Workers of each rack cell.
     pub rack_cells: Vec<Vec<WorkerIndex>>,
-    /// Devices of bound cells that their owners couldn't have back.
+    /// Number of devices of bound cells that their owners don't use and can't reclaim.
     pub violated: u32,
     pub rack_free: Vec<u32>,
     pub failure_domain_free: Vec<u32>,
@@ -194,8 +197,8 @@
         self.failure_domain_names.iter().map(|(name, row)| (name.as_str(), *row))
     }
 
-    /// Returns the devices of a worker that lie in cells of a level which nobody has bound and of
-    /// which all is free or lent.
+    /// Returns the devices of a worker that lie in unbound cells of a level whose devices are all
+    /// free or lent.
     pub fn open_cells(&self, index: WorkerIndex, level: Level) -> DeviceMask {
         const WHOLE: DeviceMask = (1 << DEVICES_PER_WORKER) - 1;
         let open = |at: &WorkerIndex| self.rows[*at].open_to_cells();
@@ -260,11 +263,11 @@
     pub workspace: WorkspaceIndex,
     pub parts: Vec<(WorkerIndex, DeviceMask)>,
     pub owned: bool,
-    /// The job that this gang gives way to, if it does.
+    /// The job that the gang yields its devices to, if it was asked to.
     pub yields_to: Option<JobId>,
     /// Whether this planner's own jobs table has its job.
     pub local: bool,
-    /// Whether its work runs; a gang that only starts can't be asked to give way.
+    /// Whether the gang's work runs; a gang that is still starting can't be asked to yield.
     pub running: bool,
     pub cores_per_device: u32,
     pub memory_per_device: u32,
@@ -283,7 +286,7 @@
     pub knobs: Knobs,
     /// Its gangs.
     pub gangs: BTreeSet<FencingToken>,
-    /// Part of the guarantee that no gang uses.
+    /// The part of the guarantee that no gang uses.
     pub unused: Shape,
     /// Which cells of the guarantee are in use, and where.
     pub cells: GuaranteeCells,
@@ -293,17 +296,17 @@
     pub held_devices: u32,
     pub waiting: u32,
     pub urgent: u32,
-    /// Device-seconds, decayed, up to `usage_at`.
+    /// Decayed usage up to `usage_at`, in device-seconds.
     pub usage: f64,
     pub usage_at: Duration,
     pub removed: bool,
 }
 
-/// Time in which past usage loses half its weight.
+/// Half-life of past usage.
 const USAGE_HALF_LIFE: Duration = Duration::from_secs(3_600);
 
 impl WorkspaceRow {
-    /// Brings decayed usage up to `now`, with the devices held meanwhile.
+    /// Decays the usage up to `now` and adds the devices held since `usage_at`.
     pub fn accrue(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.usage_at).as_secs_f64();
         if passed <= 0.0 {
@@ -324,7 +327,7 @@
 pub(crate) struct WorkspaceTable {
     pub rows: Vec<WorkspaceRow>,
     by_name: HashMap<WorkspaceId, WorkspaceIndex>,
-    /// Sum of the cells that no workspace uses any part of.
+    /// Sum of the unbound cells of all workspaces.
     pub unbound: Shape,
     /// Devices that owners don't lend, over all workspaces.
     pub unlent_devices: u32,
@@ -335,7 +338,7 @@
         self.by_name.get(name).copied().filter(|index| !self.rows[*index].removed)
     }
 
-    /// Returns the row for a name, made with default knobs if it is unknown.
+    /// Returns the row for a name; an unknown name gets a row with default knobs, marked removed.
     pub fn ensure(&mut self, name: &WorkspaceId) -> WorkspaceIndex {
         if let Some(known) = self.by_name.get(name) {
             return *known;
@@ -360,7 +363,7 @@
         index
     }
 
-    /// Changes a workspace's cells, and keeps the sums over all workspaces.
+    /// Changes a workspace's cells and updates the sums over all workspaces.
     pub fn change_cells<T>(
         &mut self,
         index: WorkspaceIndex,
@@ -398,7 +401,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum JobState {
     Waiting,
-    /// Devices come back for it.
+    /// Other gangs yield devices to the job.
     Reclaiming {
         token: FencingToken,
         from: Vec<FencingToken>,
@@ -424,7 +427,9 @@
     pub not_before: Duration,
 }
 
-/// Jobs that are alike to the planner; if the first can't start, no other can.
+/// The properties of a job that planning depends on.
+///
+/// Waiting jobs with equal demands share a queue; if the first can't start, no other can.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Demand {
     pub class: Class,
@@ -457,7 +462,7 @@
     }
 }
 
-/// Expected run times are grouped by powers of two, so that alike jobs share one demand.
+/// Rounds an expected run time up to a power of two, so that similar jobs share one demand.
 fn round_up_to_power_of_two(ms: u64) -> u64 {
     ms.checked_next_power_of_two().unwrap_or(u64::MAX)
 }
