--- a/crates/rampbay-core/src/plan.rs
+++ b/crates/rampbay-core/src/plan.rs
@@ -45,24 +45,24 @@
     move_times: VecDeque<Duration>,
     /// Demands with new jobs since the last tick.
     new_demands: BTreeSet<Demand>,
-    /// Whether anything may start now that couldn't at the last tick.
+    /// Whether something changed since the last tick that may let a waiting job start.
     capacity_gained: bool,
     /// Why the head of each demand's queue waits.
     blocked: BTreeMap<Demand, Reason>,
     last_token: FencingToken,
     next_scan: Duration,
-    /// Gangs that were stopped for another planner's job, and until when their devices are left
-    /// to it.
+    /// Gangs that were stopped for another planner's job, and the time until which their devices
+    /// are left to that job.
     left_to_others: Vec<(FencingToken, Duration)>,
-    /// Failure domains that other planners look after.
+    /// Failure domains that other planners are responsible for.
     other_domains: u64,
 }
 
-/// Bits of a fencing token below its time.
+/// Low bits of a fencing token, which hold the planner's seed; the bits above hold the time.
 const TOKEN_SEED_BITS: u32 = 20;
 
 impl Planner {
-    /// Creates an empty planner; planners that run side by side take different seeds.
+    /// Creates an empty planner; planners that run at the same time need different seeds.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -93,7 +93,7 @@
         self
     }
 
-    /// Sets times and bounds.
+    /// Sets the time limits and bounds.
     #[must_use]
     pub const fn settings(mut self, settings: PlanSettings) -> Self {
         self.settings = settings;
@@ -106,10 +106,10 @@
         self.capacity_gained = true;
     }
 
-    /// Takes a worker out, and returns the jobs of this planner that lose devices with it.
+    /// Removes a worker's devices and returns the jobs of this planner that lose devices with it.
     ///
-    /// Their gangs are stopped whole; the caller reports them with [`Planner::lost`] once their
-    /// other parts are released.
+    /// The gangs of these jobs are to be stopped as a whole; the caller reports each job with
+    /// [`Planner::lost`] once the other parts of its gang are released.
     pub fn remove_worker(&mut self, id: &str) -> Vec<JobId> {
         let Some(index) = self.fleet.workers.index(id) else {
             return Vec::new();
@@ -122,8 +122,10 @@
         gangs.filter(|gang| gang.local).map(|gang| gang.meta.job.clone()).collect()
     }
 
-    /// Says which failure domains this planner looks after; it plans into the others too, but only
-    /// where its own don't do as well. That lowers conflicts, and no promise rests on it.
+    /// Sets the failure domains that this planner prefers.
+    ///
+    /// The planner uses other domains only where its own offer no place as good. This reduces
+    /// conflicts between planners; no guarantee depends on it.
     pub fn prefer_failure_domains(&mut self, owns: impl Fn(&str) -> bool) {
         let names = self.fleet.workers.failure_domain_names();
         let others = names.filter(|(name, _)| !owns(name));
@@ -170,11 +172,11 @@
         if short.is_empty() { Ok(()) } else { Err(GuaranteeError::Infeasible { short }) }
     }
 
-    /// Takes a job into the queue.
+    /// Adds a job to the queue.
     ///
     /// # Errors
     ///
-    /// Returns why the job is refused; nothing of it has run.
+    /// Returns why the job is refused; no part of the job has run.
     pub fn submit(&mut self, spec: JobSpec, now: Duration) -> Result<(), SubmitError> {
         let workspace = self
             .fleet
@@ -258,7 +260,7 @@
         self.release_reservation(id);
     }
 
-    /// Runs every system once and returns what is to be done.
+    /// Runs every system once and returns the commands to carry out.
     pub fn tick(&mut self, now: Duration) -> Vec<Command> {
         let mut commands = Vec::new();
         self.expire(now, &mut commands);
@@ -273,8 +275,8 @@
         commands
     }
 
-    /// A scan is due when something changed that could let a job start, and now and then because
-    /// waiting jobs grow old.
+    /// Returns whether the queue is to be scanned: after any change that could let a job start, and
+    /// once per `SCAN_EVERY` because waiting jobs age.
     fn scan_due(&mut self, now: Duration) -> bool {
         const SCAN_EVERY: Duration = Duration::from_secs(1);
         if self.queue.is_empty() {
@@ -329,12 +331,12 @@
         row.refusals += 1;
         let times = row.refusals;
         row.not_before = now + backoff(self.seed, self.settings.refusal_backoff_ms, times);
-        // The next look must not be later than that.
+        // The next scan must come no later than the end of the pause.
         self.next_scan = self.next_scan.min(row.not_before);
         self.wait_again(job, Reason::StartRefused { times }, now);
     }
 
-    /// Reports that a job's gang was lost with a worker or a lapsed lease; the job waits again.
+    /// Reports that a job's gang was lost with a worker or an expired lease; the job waits again.
     pub fn lost(&mut self, job: &str, now: Duration) {
         self.wait_again(job, Reason::Lost, now);
     }
@@ -395,7 +397,7 @@
         }
     }
 
-    /// Replaces what is known of one worker's leases that this planner's jobs don't hold.
+    /// Replaces the known leases on one worker, except those of this planner's own jobs.
     pub fn sync_worker(&mut self, worker: &str, leases: &[(LeaseMeta, u64)], now: Duration) {
         let Some(index) = self.fleet.workers.index(worker) else {
             return;
@@ -461,9 +463,10 @@
         }
     }
 
-    /// Takes a lagging usage report of the platform in place of what was counted up to `until`.
+    /// Replaces the usage counted up to `until` by a delayed usage report of the platform.
     ///
-    /// What was committed after `until` still counts, so that a lag can't be used to borrow more.
+    /// Devices held after `until` still count, so that a workspace can't use the delay to borrow
+    /// more.
     pub fn report_usage(&mut self, name: &str, device_seconds: f64, until: Duration) {
         let Some(index) = self.fleet.workspaces.index(name) else {
             return;
@@ -484,7 +487,8 @@
         }
     }
 
-    /// Guesses what a gang will mean to guarantees: whether its cells fit into what is unbound.
+    /// Estimates how a gang affects guarantees: whether its cells fit into its workspace's unbound
+    /// cells.
     fn guarantee_impact(&self, demand: &Demand) -> GuaranteeImpact {
         let unbound = self.fleet.workspaces.rows[demand.workspace].cells.unbound();
         let tightest = Shape::tightest(demand.devices);
@@ -508,7 +512,7 @@
     }
 }
 
-/// Returns the token of the gang that a state has devices through.
+/// Returns the fencing token of a job's gang; a waiting job has none.
 fn gang_token(state: &JobState) -> Option<FencingToken> {
     match state {
         JobState::Waiting => None,
@@ -518,7 +522,9 @@
     }
 }
 
-/// Returns a pause that grows with the refusals and differs by seed, so that two planners part.
+/// Returns a pause whose upper bound grows with the number of refusals.
+///
+/// The pause depends on the seed, so that two planners that conflict don't retry at the same time.
 fn backoff(seed: u64, longest_ms: u64, refusals: u32) -> Duration {
     const FIRST_MS: u64 = 20;
     let ceiling = (FIRST_MS << refusals.min(16)).min(longest_ms.max(1));
--- a/crates/rampbay-core/src/plan/contract.rs
+++ b/crates/rampbay-core/src/plan/contract.rs
@@ -1,4 +1,4 @@
-//! What the planner takes and gives: commands, errors, settings and views.
+//! The types of the planner's interface: commands, errors, settings and views.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     topology::Placement,
 };
 
-/// What the planner wants done. Whoever drives it reports back how it went.
+/// An action that the planner requests. The caller carries it out and reports the result back.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
     /// Hold and commit every part, then report [`Planner::started`](super::Planner::started) or
@@ -26,7 +26,9 @@
         /// Where the gang goes.
         placement: Placement,
     },
-    /// Have a running gang give way, then report [`Planner::shrunk`](super::Planner::shrunk) or [`Planner::stopped`](super::Planner::stopped).
+    /// Have a running gang yield devices, then report
+    /// [`Planner::shrunk`](super::Planner::shrunk) or
+    /// [`Planner::stopped`](super::Planner::stopped).
     Yield {
         /// The gang's fencing token.
         token: FencingToken,
@@ -34,36 +36,36 @@
         job: JobId,
         /// The process that renews its leases.
         holder: ProcessId,
-        /// How it gives way.
+        /// How the gang yields.
         how: YieldKind,
         /// Every part that it has now.
         parts: Placement,
-        /// The job that it gives way to.
+        /// The job that the gang yields to.
         for_job: JobId,
     },
-    /// The job's deadline has passed while it waited; it isn't in the tables any more.
+    /// The job's deadline has passed while it waited; the planner has removed the job.
     Expire {
         /// The job.
         job: JobId,
     },
 }
 
-/// How a gang gives way.
+/// How a gang yields devices.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum YieldKind {
-    /// It runs on with these parts.
+    /// The gang continues with fewer devices.
     Shrink {
-        /// Parts that it keeps.
+        /// Parts that the gang keeps.
         keep: Placement,
     },
-    /// It is checkpointed and goes on later.
+    /// The gang is checkpointed and resumed later.
     Checkpoint,
-    /// It is stopped and starts anew later.
+    /// The gang is stopped and restarted from the beginning later.
     Stop,
 }
 
-/// Why a job isn't taken into the queue. None of it has run.
+/// Why a job isn't accepted into the queue. No part of the job has run.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SubmitError {
     /// The table has no such workspace.
@@ -72,7 +74,7 @@
     /// The job asks for no gang, for zero devices, or for a minimum above its size.
     #[error("gang.devices must be at least 1, and gang.min_devices between 1 and gang.devices")]
     BadGang,
-    /// No place of this fleet could ever hold the gang.
+    /// No place in this fleet is large enough for the gang.
     #[error("needs {need} devices, but the largest such place has {largest}")]
     Impossible {
         /// Devices that it needs at least.
@@ -80,7 +82,8 @@
         /// Devices of the largest place.
         largest: u32,
     },
-    /// Work that can't be stopped may run on its workspace's own devices only, and they don't do.
+    /// Work that can't be stopped may run on its workspace's own devices only, and the gang doesn't
+    /// fit into the guarantee.
     #[error("can't be stopped, so it must fit into the guarantee of {guarantee}")]
     BeyondGuarantee {
         /// The workspace's guarantee.
@@ -92,13 +95,13 @@
         /// The limit in jobs.
         limit: u32,
     },
-    /// The workspace has too much urgent work.
+    /// The workspace has reached its limit of urgent jobs.
     #[error("workspace has reached its urgent_limit of {limit} jobs")]
     UrgentFull {
         /// The limit in jobs.
         limit: u32,
     },
-    /// A job of this id is in the tables.
+    /// A job with this id is already waiting or running.
     #[error("a job with this id is already waiting or running")]
     Duplicate,
 }
@@ -114,19 +117,19 @@
     },
 }
 
-/// Times and bounds of the planner's systems.
+/// Time limits and bounds of the planner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlanSettings {
-    /// Time after which a gang that finds no room gets a reservation, in milliseconds.
+    /// Time after which a gang that finds no place gets a reservation, in milliseconds.
     pub reserve_after_ms: u64,
-    /// Most gangs moved in a minute to open a reserved place.
+    /// Most gangs moved in a minute to clear reserved workers.
     pub moves_per_minute: u32,
-    /// Time after which a yield that had no effect is asked for again, in milliseconds.
+    /// Time after which a gang that hasn't yielded yet is asked again, in milliseconds.
     pub yield_again_ms: u64,
     /// Longest pause after a refused start, in milliseconds.
     pub refusal_backoff_ms: u64,
-    /// Starts tried in one tick at most.
+    /// Most gangs started in one tick.
     pub starts_per_tick: u32,
 }
 
@@ -142,7 +145,7 @@
     }
 }
 
-/// What `explain` tells of one job.
+/// The result of [`Planner::explain`](super::Planner::explain) for one job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explanation {
     /// The job.
@@ -151,7 +154,7 @@
     pub reason: Reason,
     /// Time since it arrived.
     pub age: Duration,
-    /// Time since it last began to wait.
+    /// Time since the job last began to wait; zero if it doesn't wait.
     pub waiting: Duration,
     /// Jobs of the same demand that go first.
     pub ahead: u32,
--- a/crates/rampbay-core/src/plan/place_jobs.rs
+++ b/crates/rampbay-core/src/plan/place_jobs.rs
@@ -24,7 +24,7 @@
 /// Order of service; the smallest goes first.
 type ServiceKey = (Class, bool, u64, Duration);
 
-/// What came of trying to start one job.
+/// The outcome of an attempt to start a job.
 enum StartAttempt {
     Started,
     Blocked(Reason),
@@ -82,7 +82,8 @@
         let row = &mut self.fleet.workspaces.rows[demand.workspace];
         row.accrue(now);
         let owned = row.unused.devices() >= demand.devices;
-        // What is held now counts like the coming minutes of use, so that shares part at once.
+        // Devices held now also count as used for `HORIZON_SECONDS` to come, so that a start lowers
+        // the workspace's priority at once.
         const HORIZON_SECONDS: f64 = 600.0;
         let held = f64::from(row.held_devices) / f64::from(row.knobs.weight.max(1));
         let share = row.share() + held * HORIZON_SECONDS;
@@ -110,7 +111,7 @@
                 StartAttempt::Blocked(why) => reason = reason.or(Some(why)),
             }
         }
-        // An owner goes into reserved places before others have to stop for it.
+        // An owner may use reserved workers; that is tried before other gangs are stopped for it.
         let unused = self.fleet.workspaces.rows[demand.workspace].unused;
         let owner = unused.holds(&Shape::tightest(demand.devices));
         if owner
@@ -159,7 +160,7 @@
             }
         };
         let admitted = self.admit(job, demand, parts.clone(), &[], Claim::IfItFits, now);
-        // In a place where it can't have a cell of its own it may still borrow.
+        // Where the gang can't bind a cell of its own guarantee, it may still borrow the devices.
         let admitted = admitted.or_else(|why| match why {
             Reason::ProtectsGuarantee { .. } if demand.reclaimable => {
                 self.admit(job, demand, parts, &[], Claim::AsLeased(None), now)
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Tries free devices in cells that the workspace could bind whole.
+    /// Tries free devices in cells that the workspace could bind as a whole.
     fn try_open_cell(
         &mut self,
         job: &JobId,
@@ -196,8 +197,8 @@
         }
     }
 
-    /// Tries the free rest of cells that are bound to the workspace already: what starts there
-    /// breaks no other cell.
+    /// Tries the free devices of cells that are already bound to the workspace: a gang that starts
+    /// there breaks no other cell.
     fn try_bound(
         &mut self,
         job: &JobId,
@@ -210,8 +211,8 @@
         for (worker, devices) in bindings.iter().flat_map(Binding::rest) {
             *rest.entry(worker).or_default() |= devices;
         }
-        let room: u32 = rest.values().map(|mask| mask.count_ones()).sum();
-        if room < devices {
+        let capacity: u32 = rest.values().map(|mask| mask.count_ones()).sum();
+        if capacity < devices {
             return None;
         }
         let usable =
@@ -246,7 +247,7 @@
         }
     }
 
-    /// Tries to start on devices that others give back.
+    /// Tries to start on devices that other gangs yield.
     fn try_reclaim(
         &mut self,
         job: &JobId,
@@ -278,9 +279,10 @@
         false
     }
 
-    /// Puts a gang into the tables if every guarantee can still be reclaimed with it there.
+    /// Adds a gang to the tables if the limits allow it and no more devices are then missing for
+    /// the guarantees than before.
     ///
-    /// `victims` are gangs that give way for it.
+    /// `victims` are the gangs that yield to the new gang.
     fn admit(
         &mut self,
         job: &JobId,
@@ -298,7 +300,7 @@
         let gang = self.new_gang(job, demand, token, parts, now);
         self.fleet.insert(gang, claim);
         let mut result = self.check_admission(demand, token, short_before, borrowed_before);
-        // Nobody stops for work that would itself borrow, but for urgent work.
+        // No gang is stopped for work that would itself borrow, unless that work is urgent.
         let borrows = !self.fleet.gangs[&token].owned;
         if !victims.is_empty() && borrows && demand.class != Class::Urgent {
             result = result.and(Err(Reason::NeedsOwnCells));
@@ -393,7 +395,7 @@
         }
     }
 
-    /// Takes a job out of the queue and asks for its start.
+    /// Removes a job from the queue and adds the command to start its gang.
     pub(super) fn begin(&mut self, job: &JobId, token: FencingToken, commands: &mut Vec<Command>) {
         self.dequeue(job);
         let Some(row) = self.jobs.get_mut(job) else {
@@ -410,8 +412,9 @@
     }
 }
 
-/// Whether a gang that borrows would lose much work when an owner asks for its devices: then it
-/// keeps away from cells whose owner is active.
+/// Returns whether a gang that borrows would lose much work when an owner reclaims its devices.
+///
+/// Such a gang isn't placed on cells whose owner is active.
 fn has_costly_restart(demand: &Demand, impact: GuaranteeImpact) -> bool {
     const LARGE: u32 = 8;
     const SHORT_MS: u64 = 15 * 60 * 1_000;
@@ -421,7 +424,7 @@
         && !short
 }
 
-/// Divides workers into groups that an adjacency allows a gang to span.
+/// Divides workers into the groups within which an adjacency lets a gang spread.
 fn within_adjacency(
     workers: &WorkerTable,
     members: &[usize],
@@ -441,7 +444,7 @@
     groups.into_values().collect()
 }
 
-/// Sizes to try: the full one, then halves down to the smallest.
+/// Returns the sizes to try: the full one, then repeatedly half of that, down to the smallest.
 fn sizes(demand: &Demand) -> Vec<u32> {
     let mut sizes = vec![demand.devices];
     let mut devices = demand.devices / 2;
--- a/crates/rampbay-core/src/plan/reserve.rs
+++ b/crates/rampbay-core/src/plan/reserve.rs
@@ -1,4 +1,5 @@
-//! The system that keeps room for large gangs that have waited long, and moves small ones away.
+//! The system that reserves workers for large gangs that have waited long, and moves small gangs
+//! off them.
 
 use std::time::Duration;
 
@@ -13,23 +14,23 @@
 
 use super::{Command, Planner};
 
-/// Workers kept for one job.
+/// Workers reserved for one job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Reservation {
     pub job: JobId,
     pub workers: Vec<WorkerIndex>,
-    /// When its devices are expected to be free.
+    /// When the workers are expected to be free.
     pub ready_at: Duration,
 }
 
-/// Workers for each reservation that may stand at once.
+/// Number of workers in the fleet for each reservation that may exist at a time.
 const WORKERS_PER_RESERVATION: usize = 5;
 const MINUTE: Duration = Duration::from_secs(60);
-/// Assumed to be left of a run of which nothing is known.
+/// Least remaining run time that is assumed of a gang without an expected end.
 const MIN_REMAINING: Duration = Duration::from_secs(60);
 
-/// Whether a checkpointable gang is small enough to give way to a starving one without a place to
-/// go to.
+/// Returns whether a checkpointable gang is small enough to yield to a starving one even if it fits
+/// nowhere else.
 fn is_small(gang: &Gang, demand: &Demand) -> bool {
     const TIMES_SMALLER: u32 = 3;
     gang.running
@@ -40,7 +41,7 @@
 }
 
 impl Planner {
-    /// Returns the workers that are kept for other jobs and that `job` would hold too long.
+    /// Returns the workers that are reserved for other jobs and that `job` would hold too long.
     pub(super) fn closed_to(
         &self,
         job: &JobId,
@@ -81,7 +82,7 @@
         self.clear_reserved_workers(now, commands);
     }
 
-    /// Moves a reservation to a place that is expected to be free clearly sooner.
+    /// Moves a reservation to workers that are expected to be free more than `MIN_GAIN` sooner.
     fn renew_reservations(&mut self, now: Duration) {
         const MIN_GAIN: Duration = Duration::from_secs(600);
         for at in 0..self.reservations.len() {
@@ -106,15 +107,15 @@
         }
     }
 
-    /// Returns the job that has waited longest beyond the limit for want of room.
+    /// Returns the job that has waited longest for free devices, if at least `reserve_after_ms`.
     fn most_starved(&self, now: Duration) -> Option<(JobId, Demand)> {
         let limit = Duration::from_millis(self.settings.reserve_after_ms);
-        let room = |reason: &Reason| {
+        let lacks_devices = |reason: &Reason| {
             matches!(reason, Reason::NoRoom { .. } | Reason::BehindReservation { .. })
         };
         self.blocked
             .iter()
-            .filter(|(_, reason)| room(reason))
+            .filter(|(_, reason)| lacks_devices(reason))
             .filter_map(|(demand, _)| Some((self.queue.get(demand)?.front()?, demand)))
             .filter(|(job, _)| !self.reservations.iter().any(|kept| kept.job == **job))
             .filter(|(job, _)| now.saturating_sub(self.jobs[*job].arrived) >= limit)
@@ -122,8 +123,8 @@
             .map(|(job, demand)| (job.clone(), demand.clone()))
     }
 
-    /// Counts a job of a later class as one that arrived later, so that none waits for ever behind
-    /// the earlier classes.
+    /// Returns a job's arrival time plus a delay for its class. Less urgent classes go later, but
+    /// the delay is fixed, so that no job waits forever behind more urgent ones.
     pub(super) fn aged_arrival(&self, job: &JobId, class: Class) -> Duration {
         let class_delay = match class {
             Class::Urgent => Duration::ZERO,
@@ -175,7 +176,8 @@
         None
     }
 
-    /// A place that another workspace's cell is bound to clears late: its owner goes on using it.
+    /// Returns the delay added for a worker that another workspace's cell is bound to: its owner is
+    /// expected to keep using the cell.
     fn owners_delay(&self, worker: WorkerIndex, demand: &Demand) -> Duration {
         const OWNER_DELAY: Duration = Duration::from_secs(4 * 3_600);
         let row = &self.fleet.workers.rows[worker];
@@ -183,7 +185,9 @@
         if foreign { OWNER_DELAY } else { Duration::ZERO }
     }
 
-    /// Returns when a worker is expected to be free, if the gangs that go at once do.
+    /// Returns when a worker is expected to be free.
+    ///
+    /// Gangs that already yield or for which `is_removable` is true count as gone by `now`.
     fn worker_free_at(
         &self,
         worker: WorkerIndex,
@@ -202,14 +206,15 @@
         gangs.map(ends).max().unwrap_or(now)
     }
 
-    /// Moves checkpointable gangs out of reserved workers where they find room elsewhere.
+    /// Updates when each reservation is expected to be ready, and asks movable gangs on reserved
+    /// workers to checkpoint.
     fn clear_reserved_workers(&mut self, now: Duration, commands: &mut Vec<Command>) {
         while self.move_times.front().is_some_and(|at| now.saturating_sub(*at) > MINUTE) {
             self.move_times.pop_front();
         }
         for at in 0..self.reservations.len() {
-            // What yields or can be moved doesn't count: short work may fill in only until the
-            // rest has ended.
+            // Gangs that yield or can be moved don't count: backfill jobs may use the workers only
+            // until the other gangs have ended.
             let reservation = self.reservations[at].clone();
             let blockers = reservation.workers.iter().map(|worker| {
                 self.worker_free_at(*worker, now, |gang| self.is_movable(gang, &reservation, now))
@@ -218,7 +223,7 @@
         }
         let reservations = self.reservations.clone();
         for reservation in reservations {
-            // A move is worth it only if it opens the place soon.
+            // A move pays off only if all reserved workers will be free soon.
             if reservation.ready_at > now + MINUTE {
                 continue;
             }
@@ -235,7 +240,7 @@
         }
     }
 
-    /// Returns the gangs that stand on reserved workers and could run elsewhere.
+    /// Returns the gangs on reserved workers that can be moved.
     fn movable(&self, reservation: &Reservation, now: Duration) -> Vec<FencingToken> {
         let mut tokens: Vec<FencingToken> = reservation
             .workers
@@ -252,8 +257,8 @@
         tokens
     }
 
-    /// Whether a gang on reserved workers gives way: it can be checkpointed, would stay for a
-    /// while, and finds room elsewhere or is so small that it will soon.
+    /// Returns whether a gang on reserved workers can be moved: it can be checkpointed, would run
+    /// for longer than a minute, and fits elsewhere now or is so small that it will soon.
     fn is_movable(&self, gang: &Gang, reservation: &Reservation, now: Duration) -> bool {
         let left = gang.meta.expected_end.map(|end| end.saturating_sub(now));
         let stays = left.is_none_or(|left| left > MINUTE);
--- a/crates/rampbay-core/src/plan/views.rs
+++ b/crates/rampbay-core/src/plan/views.rs
@@ -1,4 +1,4 @@
-//! What the planner shows of its tables.
+//! Read access to the planner's tables.
 
 use std::time::Duration;
 
@@ -81,8 +81,8 @@
         self.fleet.missing_cells()
     }
 
-    /// Returns whether a gang that is held, together with all that is known now, leaves a
-    /// guarantee that can't be reclaimed, and would not if it were given up.
+    /// Returns whether cells are missing for the guarantees in the current state, and fewer devices
+    /// would be missing without the gang of `token`.
     #[must_use]
     pub fn violates_guarantee(&self, token: FencingToken) -> bool {
         let short = self.fleet.missing_cells().devices();
@@ -100,7 +100,7 @@
         self.fleet.workers.free_devices
     }
 
-    /// Returns the devices of the largest place of an adjacency, used or not.
+    /// Returns the number of working devices, used or free, in the largest place for an adjacency.
     #[must_use]
     pub fn largest(&self, adjacency: Adjacency) -> u32 {
         largest(&self.fleet.workers, adjacency)
@@ -118,7 +118,7 @@
         self.fleet.workers.rack_free.clone()
     }
 
-    /// Returns whether a gang of `devices` within one rack finds free devices.
+    /// Returns whether a gang of `devices` fits into the free devices of one rack.
     #[must_use]
     pub fn has_room(&self, devices: u32) -> bool {
         let demand = Demand {
@@ -138,7 +138,9 @@
         matches!(find(&self.fleet.workers, &demand, devices, first, &free), Found::Place(_))
     }
 
-    /// Returns how many times a device is held more than once; anything but 0 is a fault.
+    /// Returns how many times devices are held more than once; any value but 0 is a fault.
+    ///
+    /// Gangs that wait for devices to be reclaimed for them don't count.
     #[must_use]
     pub fn doubly_held(&self) -> u32 {
         let overlaps = |row: &WorkerRow| {
--- a/crates/rampbay-core/src/plan/yielding.rs
+++ b/crates/rampbay-core/src/plan/yielding.rs
@@ -1,4 +1,4 @@
-//! The system that follows devices on their way back to an owner.
+//! The system that reclaims devices: asks gangs to yield and tracks until they have.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -69,7 +69,8 @@
         });
     }
 
-    /// Starts the jobs whose devices have all come back, and asks again where that takes long.
+    /// Starts the jobs whose devices have all been reclaimed, and repeats requests to yield after
+    /// `yield_again_ms`.
     pub(super) fn advance_reclaims(&mut self, now: Duration, commands: &mut Vec<Command>) {
         let again = Duration::from_millis(self.settings.yield_again_ms);
         let jobs: Vec<(JobId, Duration)> =
@@ -116,7 +117,7 @@
         self.ask_to_yield(victim, how, job, commands);
     }
 
-    /// Reports that a gang gave devices back and runs on with `keep`.
+    /// Reports that a gang returned devices and continues with `keep`.
     pub fn shrunk(&mut self, token: FencingToken, keep: &Placement, now: Duration) {
         let keep: Vec<IndexedPart> = keep
             .iter()
@@ -144,7 +145,7 @@
 
     /// Reports that a gang was checkpointed or stopped and all its devices are free.
     ///
-    /// A job of this planner waits again; returns whether it was one.
+    /// If the gang belongs to a job of this planner, the job waits again and its id is returned.
     pub fn stopped(&mut self, token: FencingToken, now: Duration) -> Option<JobId> {
         let gang = self.fleet.gangs.get(&token)?;
         let (job, local) = (gang.meta.job.clone(), gang.local);
@@ -163,8 +164,9 @@
         Some(job)
     }
 
-    /// Another planner had the gang stopped for a job of its own. Its devices are left to that job
-    /// for a moment: were they taken at once for what waits here, the owner would have to ask again.
+    /// Leaves the devices of a gang that another planner had stopped to that planner's job for
+    /// `LEFT_FOR`. If this planner used them at once for its own waiting jobs, the other job's
+    /// planner would have to reclaim them again.
     fn leave_to_others(&mut self, token: FencingToken, job: &JobId, now: Duration) {
         const LEFT_FOR: Duration = Duration::from_secs(1);
         if let Some(gang) = self.fleet.gangs.get_mut(&token) {
@@ -175,7 +177,7 @@
         self.requeue(job, Reason::Lost, now);
     }
 
-    /// Counts devices as free that were left to another planner's job and not taken.
+    /// Frees devices that were left to another planner's job once the time for it has passed.
     pub(super) fn free_devices_left_to_others(&mut self, now: Duration) {
         let (over, left) =
             std::mem::take(&mut self.left_to_others).into_iter().partition(|(_, at)| *at <= now);
