--- a/crates/rampbay-core/benches/planner.rs
+++ b/crates/rampbay-core/benches/planner.rs
@@ -1,4 +1,5 @@
-//! Slopes of the planner over workers, running tasks, queued jobs and workspaces.
+//! Measures how the time of a planner tick grows with the numbers of workers, running tasks, queued
+//! jobs and workspaces.
 //!
 //! `cargo bench -p rampbay-core`
 
@@ -49,7 +50,7 @@
     planner
 }
 
-/// 50 gangs end, 50 arrive, one tick decides.
+/// Ends 50 gangs, submits 50 jobs and runs one tick.
 fn busy_tick(planner: &mut Planner, workspaces: usize) {
     for at in 0..50 {
         planner.finished(&format!("job-{at}"), LATER);
--- a/crates/rampbay-core/examples/borrower_shrinks.rs
+++ b/crates/rampbay-core/examples/borrower_shrinks.rs
@@ -1,4 +1,4 @@
-//! A borrower gives half of its devices back when their owner asks.
+//! A borrower returns half of its devices when their owner needs them.
 //!
 //! `cargo run -p rampbay-core --example borrower_shrinks`
 //!
--- a/crates/rampbay-core/examples/gang_waits_and_starts.rs
+++ b/crates/rampbay-core/examples/gang_waits_and_starts.rs
@@ -1,9 +1,9 @@
-//! A gang waits for room, says why, and starts once another ends.
+//! A gang waits for free devices, with a reason, and starts once another gang ends.
 //!
 //! `cargo run -p rampbay-core --example gang_waits_and_starts`
 //!
 //! What to look for: the reason names the devices that are needed and the most that are free in one
-//! place; the gang starts in the tick after the room is there.
+//! place; the gang starts in the first tick after the devices are free.
 
 use std::time::Duration;
 
--- a/crates/rampbay-core/examples/guarantee_returns.rs
+++ b/crates/rampbay-core/examples/guarantee_returns.rs
@@ -1,4 +1,4 @@
-//! A guarantee comes back although others have borrowed every device.
+//! A workspace reclaims its guarantee although others have borrowed every device.
 //!
 //! `cargo run -p rampbay-core --example guarantee_returns`
 //!
--- a/crates/rampbay-core/tests/invariants.rs
+++ b/crates/rampbay-core/tests/invariants.rs
@@ -12,7 +12,8 @@
     topology::{Placement, WorkerSpec, placement_devices},
 };
 
-/// The same cases in every run; `RAMPBAY_SEED` and `RAMPBAY_CASES` draw others.
+/// Runs the same cases each time; `RAMPBAY_SEED` draws other cases, `RAMPBAY_CASES` multiplies
+/// their number.
 fn config(cases: u32) -> ProptestConfig {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let seed = number("RAMPBAY_SEED").unwrap_or(1);
@@ -82,7 +83,7 @@
     Knobs::default().guarantee(SHAPES[workspace][shape].parse().expect("shape"))
 }
 
-/// Drives a planner as the workers would.
+/// Applies events to a planner and carries out its commands in place of the workers.
 struct Driver {
     planner: Planner,
     now: Duration,
@@ -161,7 +162,7 @@
         self.tick_until_idle();
     }
 
-    /// Ticks until nothing more is decided; every command is carried out at once.
+    /// Ticks until the planner returns no more commands; carries out every command at once.
     fn tick_until_idle(&mut self) {
         for _ in 0..40 {
             let commands = self.planner.tick(self.now);
@@ -236,7 +237,11 @@
         let allowed = |event: &&Event| !matches!(event, Event::Lose(_) | Event::Edit { .. });
         for event in events.iter().filter(allowed) {
             driver.apply(event);
-            prop_assert!(driver.planner.missing_cells().is_empty(), "short of {}", driver.planner.missing_cells());
+            prop_assert!(
+                driver.planner.missing_cells().is_empty(),
+                "short of {}",
+                driver.planner.missing_cells()
+            );
         }
     }
 
@@ -247,7 +252,7 @@
         for event in events.iter().filter(allowed) {
             driver.apply(event);
         }
-        // What is left of the guarantee, asked for as its largest cell, starts within one tick_until_idle.
+        // A job for the largest unused cell of the guarantee starts before the planner is idle.
         let views = driver.planner.workspaces();
         let view = views.iter().find(|view| &*view.workspace == NAMES[workspace]).expect("row");
         let largest = [24, 8, 4, 2, 1]
@@ -255,7 +260,10 @@
             .find(|size| view.unused.holds(&rampbay_core::shape::Shape::tightest(*size)));
         if let Some(devices) = largest {
             let spec = JobSpec::new("owner", NAMES[workspace]).class(Class::Urgent);
-            driver.planner.submit(spec.gang(GangSpec::new(devices)), driver.now).expect("job accepted");
+            driver
+                .planner
+                .submit(spec.gang(GangSpec::new(devices)), driver.now)
+                .expect("job accepted");
             driver.tick_until_idle();
             let runs = driver.gangs.contains_key("owner");
             let why = driver.planner.explain("owner", driver.now);
@@ -287,7 +295,7 @@
     assert_eq!(planner.tick(start).len(), 1);
     planner.start_refused("job", start);
     assert!(planner.tick(start).is_empty(), "a pause comes first");
-    // The first pause is at most 40 ms; scans without a cause come a second apart.
+    // The first pause is at most 40 ms; scans without a change are one second apart.
     assert_eq!(planner.tick(start + Duration::from_millis(41)).len(), 1);
 }
 
@@ -304,5 +312,8 @@
     planner.stopped(meta.token, start * 2);
     assert!(planner.tick(start * 2).is_empty(), "the other planner's job goes first");
     let commands = planner.tick(start * 2 + Duration::from_millis(1_001));
-    assert!(matches!(&commands[..], [Command::Start { .. }]), "nobody took them: {commands:?}");
+    assert!(
+        matches!(&commands[..], [Command::Start { .. }]),
+        "the job starts again on the unused devices: {commands:?}"
+    );
 }
--- a/crates/rampbay-core/tests/shapes.rs
+++ b/crates/rampbay-core/tests/shapes.rs
@@ -8,7 +8,8 @@
 };
 use rstest::rstest;
 
-/// The same cases in every run; `RAMPBAY_SEED` and `RAMPBAY_CASES` draw others.
+/// Runs the same cases each time; `RAMPBAY_SEED` draws other cases, `RAMPBAY_CASES` multiplies
+/// their number.
 fn config(cases: u32) -> ProptestConfig {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let seed = number("RAMPBAY_SEED").unwrap_or(1);
