--- a/crates/rampbay-table/examples/table_race.rs
+++ b/crates/rampbay-table/examples/table_race.rs
@@ -2,8 +2,8 @@
 //!
 //! `cargo run -p rampbay-table --example table_race`
 //!
-//! What to look for: the second edit is void and names who was first; a doubled append does nothing;
-//! an edit of another row isn't touched by the race.
+//! What to look for: the second edit is void and names who was first; an edit that is appended
+//! twice is applied once; an edit of another row isn't affected.
 
 use rampbay_core::knobs::Knobs;
 use rampbay_table::{
--- a/crates/rampbay-table/src/grid.rs
+++ b/crates/rampbay-table/src/grid.rs
@@ -1,4 +1,4 @@
-//! The table as CSV: one row for each workspace, one column for each knob.
+//! Reads and writes the table as CSV: one row for each workspace, one column for each knob.
 
 use std::collections::BTreeMap;
 
@@ -26,8 +26,8 @@
     /// The first column isn't `workspace`.
     #[error("the first column must be `workspace`")]
     NoWorkspace,
-    /// A workspace has no name or stands twice.
-    #[error("line {line}: workspace `{name}` is empty or stands twice")]
+    /// A workspace has no name or appears twice.
+    #[error("line {line}: workspace `{name}` is empty or appears twice")]
     Workspace {
         /// The line.
         line: usize,
@@ -133,8 +133,8 @@
 
 /// Returns the edit that turns the table, as its editor saw it, into `wanted`.
 ///
-/// Rows that stand unchanged are left out, so that two operators who edit different rows don't
-/// race each other.
+/// Unchanged rows are left out, so that the edits of two operators who change different rows don't
+/// conflict.
 #[must_use]
 pub fn edit_between(
     seen: &TableState,
--- a/crates/rampbay-table/src/lib.rs
+++ b/crates/rampbay-table/src/lib.rs
@@ -1,9 +1,10 @@
 //! The table of workspaces, and how it is agreed through the platform's log.
 //!
-//! Operators publish row changes to the log. Every process folds the log in its order with
-//! [`TableState::apply`](state::TableState::apply), so that all come to the same table without
-//! asking each other. A change says which version of each row it was based on; if the row has
-//! changed meanwhile, the change is void and its operator is told who was first.
+//! Operators publish row changes to the log. Every process applies the log's records in order with
+//! [`TableState::apply`](state::TableState::apply), so that all processes get the same table
+//! without communicating with each other. An edit names the version of each row that it is based
+//! on; if a row has changed since, the edit is void and its operator learns who made the earlier
+//! change.
 //!
 //! ```
 //! use rampbay_core::knobs::Knobs;
--- a/crates/rampbay-table/src/record.rs
+++ b/crates/rampbay-table/src/record.rs
@@ -11,9 +11,10 @@
 /// The largest record that is read, in bytes.
 pub const MAX_RECORD_BYTES: usize = 256 * 1024;
 
-/// Counts accepted edits; only goes up.
+/// The number of accepted edits; never decreases.
 pub type TableVersion = u64;
-/// An id that a publisher draws for each edit, so that a lost answer can be settled.
+/// An id that the publisher chooses for each edit, so that it can look up the result if the log's
+/// answer is lost.
 pub type EditId = String;
 
 /// One record.
@@ -22,7 +23,7 @@
 pub enum Record {
     /// A change of rows.
     Edit(Edit),
-    /// The whole table, written so that it outlives the log's retention.
+    /// The whole table, written so that it can be restored after the log has dropped old records.
     Snapshot(Snapshot),
 }
 
@@ -44,7 +45,7 @@
 pub struct Change {
     /// The row.
     pub workspace: WorkspaceId,
-    /// The table's version at which the row was last changed, as its editor saw it; 0 for none.
+    /// The table's version at which the row was last changed, as its editor saw it; 0 for no row.
     pub base: TableVersion,
     /// The new knobs; absent removes the row.
     pub knobs: Option<Knobs>,
@@ -54,13 +55,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
-    /// The last offset that it includes; absent if it includes none.
+    /// The offset of the last record that the snapshot includes; absent if it includes none.
     pub upto: Option<u64>,
     /// The table's version.
     pub version: TableVersion,
     /// Every row with the version of its last change.
     pub rows: BTreeMap<WorkspaceId, VersionedRow>,
-    /// Ids of recent edits, so that a doubled append stays void.
+    /// Ids of recent edits, so that an edit that was appended twice is applied only once.
     pub recent: Vec<EditId>,
 }
 
@@ -76,16 +77,16 @@
 /// Why a record is skipped.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RecordError {
-    /// It is larger than [`MAX_RECORD_BYTES`].
+    /// The record is larger than [`MAX_RECORD_BYTES`].
     #[error("record of {0} bytes is larger than {MAX_RECORD_BYTES}")]
     TooLarge(usize),
-    /// It isn't a record of a known format.
+    /// The bytes aren't a record of a known format.
     #[error("record can't be read: {0}")]
     Unreadable(String),
-    /// It has a format of a later release.
+    /// The record's format isn't [`FORMAT`]; a later release wrote it.
     #[error("record has format {0}, this release reads {FORMAT}")]
     UnknownFormat(u32),
-    /// A knob in it is out of its range.
+    /// A knob in the record is out of its range.
     #[error("record has a knob out of range: {0}")]
     Knob(String),
 }
--- a/crates/rampbay-table/src/state.rs
+++ b/crates/rampbay-table/src/state.rs
@@ -1,4 +1,4 @@
-//! The accepted table, folded from the log in its order.
+//! The accepted table, built by applying the log's records in order.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,7 +9,8 @@
     Change, Edit, EditId, Record, RecordError, Snapshot, TableVersion, VersionedRow,
 };
 
-/// Edits that are remembered, so that a doubled append is void and a lost answer can be settled.
+/// Number of recent edit ids that are kept, so that an edit that was appended twice is applied only
+/// once, and the result of an edit whose answer was lost can be determined.
 const REMEMBERED_EDITS: usize = 1_024;
 /// Records after which a snapshot is due.
 const SNAPSHOT_EVERY: u64 = 512;
@@ -17,14 +18,14 @@
 /// What a record did.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Applied {
-    /// The edit is in force.
+    /// The edit was applied.
     Accepted {
-        /// The table's version with it.
+        /// The table's version after the edit.
         version: TableVersion,
         /// The edit.
         edit: Edit,
     },
-    /// The edit came too late: a row had changed after its editor saw it.
+    /// The edit was rejected: a row had changed after the editor read it.
     Void {
         /// The edit.
         edit: Edit,
@@ -33,18 +34,18 @@
         /// The row that had changed.
         workspace: WorkspaceId,
     },
-    /// The edit was there already.
+    /// An edit with this id was applied or rejected before.
     Duplicate,
-    /// A snapshot, taken over if the table was empty or behind.
+    /// The record is a snapshot; it replaces a table that lacks earlier records and is older.
     Snapshot {
         /// Whether it replaced the table.
         taken: bool,
     },
-    /// The record can't be used.
+    /// The record was skipped because it can't be read or is invalid.
     Skipped(RecordError),
-    /// The record was folded before.
+    /// The record at this offset was processed before.
     Old,
-    /// Records before this one are gone from the log, and no snapshot has been seen yet.
+    /// Records before this one are missing; the edit can be applied only after a snapshot.
     AwaitingSnapshot,
 }
 
@@ -57,11 +58,11 @@
     pub edit: EditId,
     /// Who published it.
     pub by: String,
-    /// The version that it made, if it was accepted.
+    /// The table's version after the edit, if it was accepted.
     pub version: Option<TableVersion>,
-    /// The rows that it named.
+    /// The rows that the edit named.
     pub workspaces: Vec<WorkspaceId>,
-    /// Why it is void, if it is.
+    /// Why the edit is void, if it is.
     pub void: Option<String>,
 }
 
@@ -70,7 +71,7 @@
 pub struct TableState {
     version: TableVersion,
     rows: BTreeMap<WorkspaceId, VersionedRow>,
-    /// Who made each row's last change; only as far as it was seen.
+    /// Publisher and edit id of each row's last change, for changes that were applied here.
     changed_by: BTreeMap<WorkspaceId, (String, EditId)>,
     recent: VecDeque<EditId>,
     recent_set: BTreeSet<EditId>,
@@ -81,7 +82,7 @@
 }
 
 impl TableState {
-    /// Folds the record at `offset`.
+    /// Applies the record at `offset`.
     pub fn apply(&mut self, offset: u64, bytes: &[u8]) -> Applied {
         if self.upto.is_some_and(|upto| offset <= upto) {
             return Applied::Old;
@@ -104,7 +105,7 @@
         }
     }
 
-    /// A record that can't be read is passed only where nothing before it is missing.
+    /// Moves past the record at `offset`, unless records before it are missing.
     fn advance(&mut self, offset: u64) {
         if self.next_offset() == offset {
             self.upto = Some(offset);
@@ -119,9 +120,9 @@
         Applied::Snapshot { taken }
     }
 
-    /// Takes over a snapshot, from the log or from a peer, unless it is behind this table.
+    /// Replaces the table by a snapshot from the log or from a peer if the snapshot is newer.
     ///
-    /// Returns whether it was taken. A table never goes back to an older version.
+    /// Returns whether the table was replaced. A table never returns to an older version.
     pub fn install_snapshot(&mut self, snapshot: &Snapshot) -> bool {
         let behind = snapshot.version < self.version
             || (snapshot.version == self.version && snapshot.upto <= self.upto);
@@ -206,13 +207,13 @@
         });
     }
 
-    /// Returns the offset of the next record to fold.
+    /// Returns the offset of the next record to apply.
     #[must_use]
     pub fn next_offset(&self) -> u64 {
         self.upto.map_or(0, |upto| upto + 1)
     }
 
-    /// Returns the version.
+    /// Returns the table's version.
     #[must_use]
     pub const fn version(&self) -> TableVersion {
         self.version
@@ -224,7 +225,7 @@
         self.rows.get(workspace).map(|row| &row.knobs)
     }
 
-    /// Returns the version at which a row was last changed, 0 for a row that isn't there.
+    /// Returns the table's version at which a row was last changed, 0 for a row that doesn't exist.
     #[must_use]
     pub fn row_version(&self, workspace: &str) -> TableVersion {
         self.rows.get(workspace).map_or(0, |row| row.changed)
@@ -241,7 +242,7 @@
         self.history.iter()
     }
 
-    /// Returns what became of an edit, if it was folded lately.
+    /// Returns the result of an edit, if it is among the latest `MAX_HISTORY_ROWS` in the history.
     #[must_use]
     pub fn edit_outcome(&self, edit: &str) -> Option<&HistoryRow> {
         self.history.iter().rev().find(|row| row.edit == edit)
@@ -255,8 +256,8 @@
 
     /// Returns whether a snapshot should be written, given the oldest offset that the log keeps.
     ///
-    /// That is so when many records have come since the last one, or when retention has taken
-    /// half of what lies before it.
+    /// A snapshot is due after `SNAPSHOT_EVERY` records since the last one, or when the log has
+    /// begun to drop records and the last snapshot lies in the older half of those it keeps.
     #[must_use]
     pub fn snapshot_due(&self, oldest_kept: u64) -> bool {
         let next = self.next_offset();
