--- a/crates/rampbay-core/benches/planner.rs
+++ b/crates/rampbay-core/benches/planner.rs
@@ -1,4 +1,5 @@
-//! Slopes of the planner over workers, running tasks, queued jobs and workspaces.
+//! Measures how the time of a planner tick grows with the numbers of workers, running tasks, queued
+//! jobs and workspaces.
 //!
 //! `cargo bench -p rampbay-core`
 
@@ -49,7 +50,7 @@
     planner
 }
 
-/// 50 gangs end, 50 arrive, one tick decides.
+/// Ends 50 gangs, submits 50 jobs and runs one tick.
 fn busy_tick(planner: &mut Planner, workspaces: usize) {
     for at in 0..50 {
         planner.finished(&format!("job-{at}"), LATER);
@@ -94,7 +95,7 @@
     for workers in [300, 1_000, 2_500] {
         let mut planner = filled(workers, 4, workers);
         let gang = GangSpec::new(256).adjacency(Adjacency::FailureDomain);
-        planner.submit(JobSpec::new("large", "team-0").gang(gang), NOW).expect("taken");
+        planner.submit(JobSpec::new("large", "team-0").gang(gang), NOW).expect("job accepted");
         group.bench_with_input(BenchmarkId::from_parameter(workers), &planner, |b, planner| {
             b.iter_batched_ref(
                 || planner.clone(),
--- a/crates/rampbay-core/examples/borrower_shrinks.rs
+++ b/crates/rampbay-core/examples/borrower_shrinks.rs
@@ -1,4 +1,4 @@
-//! A borrower gives half of its devices back when their owner asks.
+//! A borrower returns half of its devices when their owner needs them.
 //!
 //! `cargo run -p rampbay-core --example borrower_shrinks`
 //!
@@ -21,10 +21,10 @@
     planner.set_workspace("trials", Knobs::default());
     let second = Duration::from_secs(1);
     let borrower = JobSpec::new("borrower", "trials").gang(GangSpec::new(8).min_devices(4));
-    planner.submit(borrower, second).expect("taken");
+    planner.submit(borrower, second).expect("job accepted");
     run(&mut planner, second);
     let owner = JobSpec::new("owner", "forecasts").gang(GangSpec::new(4));
-    planner.submit(owner, second * 2).expect("taken");
+    planner.submit(owner, second * 2).expect("job accepted");
     run(&mut planner, second * 2);
     run(&mut planner, second * 3);
     for job in ["borrower", "owner"] {
--- a/crates/rampbay-core/src/place.rs
+++ b/crates/rampbay-core/src/place.rs
@@ -29,27 +29,28 @@
 pub(crate) struct Preference {
     /// 0 takes the first place that fits, 100 the one that breaks the fewest large cells.
     pub packing: u32,
-    /// Where the scan starts, so that two planners differ.
+    /// Where the scan starts; planners with different offsets try different places first.
     pub offset: usize,
-    /// Failure domains, by row, that other planners look after; dearer, but not closed.
-    pub others: u64,
-    /// What the gang that is placed means to guarantees.
-    pub stake: Stake,
+    /// Failure domains that other planners are responsible for, as bits of [`domain_bit`]; they
+    /// cost more but are allowed.
+    pub other_domains: u64,
+    /// How the placed gang affects guarantees.
+    pub impact: GuaranteeImpact,
 }
 
-/// What a gang that is placed means to guarantees.
+/// How a placed gang affects guarantees.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) enum Stake {
-    /// Nothing that is known.
+pub(crate) enum GuaranteeImpact {
+    /// No known effect.
     #[default]
     None,
-    /// It borrows: it will have to go where an owner is active, and what it has done by then may
-    /// be lost.
+    /// The gang borrows: it will have to yield where an owner is active, and its work up to then
+    /// may be lost.
     Borrows {
-        /// Whether its work can be checkpointed.
+        /// Whether the gang's work can be checkpointed.
         checkpointable: bool,
     },
-    /// It will bind a new cell of this level: whoever has borrowed there will have to go.
+    /// The gang binds a new cell of this level: gangs that borrow devices there will have to yield.
     Binds(Level),
 }
 
@@ -58,24 +59,24 @@
 pub(crate) enum Found {
     /// Parts with exactly the devices asked for.
     Place(Vec<IndexedPart>),
-    /// No group has room; the most usable devices within one group.
+    /// No group has enough usable devices; `best` is the largest number within one group.
     NoRoom { best: u32 },
 }
 
-/// What it costs to plan into a failure domain that another planner looks after: more than an
-/// untidy fit, less than a broken worker cell.
-const OTHER_PLANNERS_DOMAIN: u32 = 128;
+/// Cost of a place in a failure domain that another planner is responsible for: more than a poor
+/// fit, less than a broken worker cell.
+const OTHER_DOMAIN_COST: u32 = 128;
 
-/// A search ends after this many groups that have room and are no cheaper. Today's fleets have
-/// fewer groups than that.
+/// A search ends after this many successive groups that have enough devices but are no cheaper than
+/// the best one. Current fleets have fewer groups.
 const GROUPS_WITHOUT_GAIN: u32 = 64;
 
-/// Returns the bit of a failure domain; with more than 64 of them several share one.
+/// Returns the bit of a failure domain; in a fleet of more than 64, several share one bit.
 pub(crate) const fn domain_bit(failure_domain: usize) -> u64 {
     1 << (failure_domain % 64)
 }
 
-/// Packing up to this value takes the first group that fits.
+/// Largest value of the `packing` knob at which a search takes the first group that fits.
 const FIRST_FIT_PACKING: u32 = 10;
 
 /// Finds a place for `devices` devices of a demand's kind.
@@ -172,18 +173,18 @@
         if free < devices {
             continue;
         }
-        // Leftover devices are part of the cost, so that such a group can't be cheaper.
+        // Leftover devices are part of the cost, so a group with this many can't be cheaper.
         if best.as_ref().is_some_and(|(lowest, _)| free - devices >= *lowest) {
             continue;
         }
         let parts = choose(&mut candidates, devices, preference.offset);
         let foreign = parts.iter().any(|(worker, _)| {
-            preference.others & domain_bit(workers.rows[*worker].failure_domain) != 0
+            preference.other_domains & domain_bit(workers.rows[*worker].failure_domain) != 0
         });
-        let away = if foreign { OTHER_PLANNERS_DOMAIN } else { 0 };
-        let stake: u32 =
-            parts.iter().map(|part| stake_cost(workers, *part, demand, preference)).sum();
-        let cost = cost(workers, &parts, free - devices, usable) + away + stake;
+        let domain_cost = if foreign { OTHER_DOMAIN_COST } else { 0 };
+        let impact: u32 =
+            parts.iter().map(|part| guarantee_cost(workers, *part, demand, preference)).sum();
+        let cost = cost(workers, &parts, free - devices, usable) + domain_cost + impact;
         if preference.packing <= FIRST_FIT_PACKING && !foreign {
             return Found::Place(parts);
         }
@@ -203,7 +204,7 @@
     }
 }
 
-/// Leaves out devices for which the box has too few free cores or too little free memory.
+/// Limits the devices to those for which the box has enough free cores and memory.
 fn limit_by_box(row: &WorkerRow, demand: &Demand, mask: DeviceMask) -> DeviceMask {
     let by_cores = (row.spec.cores.saturating_sub(row.cores_used)).checked_div(demand.cores);
     let by_memory =
@@ -212,7 +213,7 @@
     if mask.count_ones() <= most { mask } else { pick(mask, most) }
 }
 
-/// Chooses devices within one group that has enough: whole workers first, then the best fit.
+/// Chooses devices within a group that has enough of them: whole workers first, then the best fit.
 fn choose(candidates: &mut [IndexedPart], devices: u32, offset: usize) -> Vec<IndexedPart> {
     let count = candidates.len();
     candidates.rotate_left(offset % count.max(1));
@@ -240,7 +241,7 @@
 
 /// Picks `count` devices out of a mask, keeping large aligned cells whole.
 ///
-/// Takes the largest cell that is needed from the smallest cell that holds it.
+/// Repeatedly takes the largest cell that is still needed from the smallest free cell around it.
 pub(crate) fn pick(mask: DeviceMask, count: u32) -> DeviceMask {
     let mut left = mask;
     let mut taken = 0;
@@ -265,27 +266,27 @@
         if mask & here != here {
             continue;
         }
-        let holds = enclosing_block(mask, at, size);
-        if best.is_none_or(|(smallest, _)| holds < smallest) {
-            best = Some((holds, here));
+        let enclosing = enclosing_block(mask, at, size);
+        if best.is_none_or(|(smallest, _)| enclosing < smallest) {
+            best = Some((enclosing, here));
         }
     }
     best.map(|(_, here)| here)
 }
 
-/// Returns the size of the largest free aligned block around the one at `at`.
+/// Returns the size of the largest free aligned block that contains the block at `at`.
 fn enclosing_block(mask: DeviceMask, at: u32, size: u32) -> u32 {
-    let mut holds = size;
-    while holds < DEVICES_PER_WORKER {
-        let larger = holds * 2;
+    let mut enclosing = size;
+    while enclosing < DEVICES_PER_WORKER {
+        let larger = enclosing * 2;
         let block: DeviceMask = (1 << larger) - 1;
         let start = at - at % larger;
         if mask & (block << start) != block << start {
             break;
         }
-        holds = larger;
+        enclosing = larger;
     }
-    holds
+    enclosing
 }
 
 fn lowest_bits(mask: DeviceMask, count: u32) -> DeviceMask {
@@ -296,31 +297,31 @@
     mask & !left
 }
 
-/// What a part costs for the guarantees that it touches.
-fn stake_cost(
+/// Returns the cost of a part for the guarantees that it affects.
+fn guarantee_cost(
     workers: &WorkerTable,
     (worker, devices): IndexedPart,
     demand: &Demand,
     preference: Preference,
 ) -> u32 {
-    const MOVE: u32 = 6;
-    const LOSE: u32 = 24;
+    const MOVE_COST: u32 = 6;
+    const LOST_WORK_COST: u32 = 24;
     let row = &workers.rows[worker];
-    match preference.stake {
-        Stake::None => 0,
-        Stake::Borrows { checkpointable } => {
+    match preference.impact {
+        GuaranteeImpact::None => 0,
+        GuaranteeImpact::Borrows { checkpointable } => {
             let bound = row.bound_by_others(demand.workspace);
-            (devices & bound).count_ones() * if checkpointable { MOVE } else { LOSE }
+            (devices & bound).count_ones() * if checkpointable { MOVE_COST } else { LOST_WORK_COST }
         }
-        Stake::Binds(Level::Rack) => {
+        GuaranteeImpact::Binds(Level::Rack) => {
             let members = &workers.rack_cells[row.rack_cell];
             members.iter().map(|member| workers.rows[*member].cost_of_lent()).sum()
         }
-        Stake::Binds(_) => row.cost_of_lent(),
+        GuaranteeImpact::Binds(_) => row.cost_of_lent(),
     }
 }
 
-/// What a place costs: cells that it breaks, and what it leaves of a rack that was whole.
+/// Returns the cost of a place: the cells that it breaks and the devices of the group left over.
 fn cost(workers: &WorkerTable, parts: &[IndexedPart], leftover: u32, usable: &impl Usable) -> u32 {
     const BROKEN_WORKER: u32 = 64;
     const BROKEN_QUAD: u32 = 8;
--- a/crates/rampbay-core/src/plan.rs
+++ b/crates/rampbay-core/src/plan.rs
@@ -17,7 +17,7 @@
     job::{Class, JobSpec},
     knobs::Knobs,
     lease::LeaseMeta,
-    place::{IndexedPart, Preference, Stake, domain_bit, largest},
+    place::{GuaranteeImpact, IndexedPart, Preference, domain_bit, largest},
     reason::Reason,
     shape::{LEVELS, Shape},
     tables::{Demand, Gang, JobRow, JobState, QueueTable},
@@ -42,27 +42,27 @@
     deadlines: BTreeSet<(Duration, JobId)>,
     reclaiming: BTreeMap<JobId, Duration>,
     reservations: Vec<Reservation>,
-    moves: VecDeque<Duration>,
+    move_times: VecDeque<Duration>,
     /// Demands with new jobs since the last tick.
-    fresh: BTreeSet<Demand>,
-    /// Whether anything may start now that couldn't at the last tick.
+    new_demands: BTreeSet<Demand>,
+    /// Whether something changed since the last tick that may let a waiting job start.
     capacity_gained: bool,
     /// Why the head of each demand's queue waits.
     blocked: BTreeMap<Demand, Reason>,
     last_token: FencingToken,
     next_scan: Duration,
-    /// Gangs that were stopped for another planner's job, and until when their devices are left
-    /// to it.
+    /// Gangs that were stopped for another planner's job, and the time until which their devices
+    /// are left to that job.
     left_to_others: Vec<(FencingToken, Duration)>,
-    /// Failure domains that other planners look after.
-    others: u64,
+    /// Failure domains that other planners are responsible for.
+    other_domains: u64,
 }
 
-/// Bits of a fencing token below its time.
+/// Low bits of a fencing token, which hold the planner's seed; the bits above hold the time.
 const TOKEN_SEED_BITS: u32 = 20;
 
 impl Planner {
-    /// Creates an empty planner; planners that run side by side take different seeds.
+    /// Creates an empty planner; planners that run at the same time need different seeds.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -75,14 +75,14 @@
             deadlines: BTreeSet::new(),
             reclaiming: BTreeMap::new(),
             reservations: Vec::new(),
-            moves: VecDeque::new(),
-            fresh: BTreeSet::new(),
+            move_times: VecDeque::new(),
+            new_demands: BTreeSet::new(),
             capacity_gained: false,
             blocked: BTreeMap::new(),
             last_token: 0,
             next_scan: Duration::ZERO,
             left_to_others: Vec::new(),
-            others: 0,
+            other_domains: 0,
         }
     }
 
@@ -93,7 +93,7 @@
         self
     }
 
-    /// Sets times and bounds.
+    /// Sets the time limits and bounds.
     #[must_use]
     pub const fn settings(mut self, settings: PlanSettings) -> Self {
         self.settings = settings;
@@ -106,10 +106,10 @@
         self.capacity_gained = true;
     }
 
-    /// Takes a worker out, and returns the jobs of this planner that lose devices with it.
+    /// Removes a worker's devices and returns the jobs of this planner that lose devices with it.
     ///
-    /// Their gangs are stopped whole; the caller reports them with [`Planner::lost`] once their
-    /// other parts are released.
+    /// The gangs of these jobs are to be stopped as a whole; the caller reports each job with
+    /// [`Planner::lost`] once the other parts of its gang are released.
     pub fn remove_worker(&mut self, id: &str) -> Vec<JobId> {
         let Some(index) = self.fleet.workers.index(id) else {
             return Vec::new();
@@ -122,12 +122,14 @@
         gangs.filter(|gang| gang.local).map(|gang| gang.meta.job.clone()).collect()
     }
 
-    /// Says which failure domains this planner looks after; it plans into the others too, but only
-    /// where its own don't do as well. That lowers conflicts, and no promise rests on it.
-    pub fn look_after(&mut self, owns: impl Fn(&str) -> bool) {
+    /// Sets the failure domains that this planner prefers.
+    ///
+    /// The planner uses other domains only where its own offer no place as good. This reduces
+    /// conflicts between planners; no guarantee depends on it.
+    pub fn prefer_failure_domains(&mut self, owns: impl Fn(&str) -> bool) {
         let names = self.fleet.workers.failure_domain_names();
         let others = names.filter(|(name, _)| !owns(name));
-        self.others = others.fold(0, |bits, (_, row)| bits | domain_bit(row));
+        self.other_domains = others.fold(0, |bits, (_, row)| bits | domain_bit(row));
     }
 
     /// Sets a workspace's knobs.
@@ -170,11 +172,11 @@
         if short.is_empty() { Ok(()) } else { Err(GuaranteeError::Infeasible { short }) }
     }
 
-    /// Takes a job into the queue.
+    /// Adds a job to the queue.
     ///
     /// # Errors
     ///
-    /// Returns why the job is refused; nothing of it has run.
+    /// Returns why the job is refused; no part of the job has run.
     pub fn submit(&mut self, spec: JobSpec, now: Duration) -> Result<(), SubmitError> {
         let workspace = self
             .fleet
@@ -235,7 +237,7 @@
         } else {
             jobs.push_back(id.clone());
         }
-        self.fresh.insert(demand);
+        self.new_demands.insert(demand);
     }
 
     fn dequeue(&mut self, id: &JobId) {
@@ -258,29 +260,29 @@
         self.release_reservation(id);
     }
 
-    /// Runs every system once and returns what is to be done.
+    /// Runs every system once and returns the commands to carry out.
     pub fn tick(&mut self, now: Duration) -> Vec<Command> {
         let mut commands = Vec::new();
         self.expire(now, &mut commands);
-        self.end_leaving(now);
+        self.free_devices_left_to_others(now);
         self.advance_reclaims(now, &mut commands);
         if self.scan_due(now) {
             self.place_waiting(now, &mut commands);
             self.reserve_for_starving(now, &mut commands);
             self.capacity_gained = false;
-            self.fresh.clear();
+            self.new_demands.clear();
         }
         commands
     }
 
-    /// A scan is due when something changed that could let a job start, and now and then because
-    /// waiting jobs grow old.
+    /// Returns whether the queue is to be scanned: after any change that could let a job start, and
+    /// once per `SCAN_EVERY` because waiting jobs age.
     fn scan_due(&mut self, now: Duration) -> bool {
         const SCAN_EVERY: Duration = Duration::from_secs(1);
         if self.queue.is_empty() {
             return false;
         }
-        if !self.capacity_gained && self.fresh.is_empty() && now < self.next_scan {
+        if !self.capacity_gained && self.new_demands.is_empty() && now < self.next_scan {
             return false;
         }
         if now >= self.next_scan {
@@ -298,7 +300,7 @@
             self.deadlines.pop_first();
             let waits = self.jobs.get(&job).is_some_and(|row| row.state == JobState::Waiting);
             if waits {
-                self.forget(&job);
+                self.remove_job(&job);
                 commands.push(Command::Expire { job });
             }
         }
@@ -329,12 +331,12 @@
         row.refusals += 1;
         let times = row.refusals;
         row.not_before = now + backoff(self.seed, self.settings.refusal_backoff_ms, times);
-        // The next look must not be later than that.
+        // The next scan must come no later than the end of the pause.
         self.next_scan = self.next_scan.min(row.not_before);
         self.wait_again(job, Reason::StartRefused { times }, now);
     }
 
-    /// Reports that a job's gang was lost with a worker or a lapsed lease; the job waits again.
+    /// Reports that a job's gang was lost with a worker or an expired lease; the job waits again.
     pub fn lost(&mut self, job: &str, now: Duration) {
         self.wait_again(job, Reason::Lost, now);
     }
@@ -378,10 +380,10 @@
         if let Some(token) = gang_token(&row.state) {
             self.drop_gang(token, now);
         }
-        self.forget(&id);
+        self.remove_job(&id);
     }
 
-    fn forget(&mut self, job: &JobId) {
+    fn remove_job(&mut self, job: &JobId) {
         self.dequeue(job);
         self.reclaiming.remove(job);
         let Some(row) = self.jobs.remove(job) else {
@@ -395,7 +397,7 @@
         }
     }
 
-    /// Replaces what is known of one worker's leases that this planner's jobs don't hold.
+    /// Replaces the known leases on one worker, except those of this planner's own jobs.
     pub fn sync_worker(&mut self, worker: &str, leases: &[(LeaseMeta, u64)], now: Duration) {
         let Some(index) = self.fleet.workers.index(worker) else {
             return;
@@ -461,9 +463,10 @@
         }
     }
 
-    /// Takes a lagging usage report of the platform in place of what was counted up to `until`.
+    /// Replaces the usage counted up to `until` by a delayed usage report of the platform.
     ///
-    /// What was committed after `until` still counts, so that a lag can't be used to borrow more.
+    /// Devices held after `until` still count, so that a workspace can't use the delay to borrow
+    /// more.
     pub fn report_usage(&mut self, name: &str, device_seconds: f64, until: Duration) {
         let Some(index) = self.fleet.workspaces.index(name) else {
             return;
@@ -476,11 +479,17 @@
     fn preference(&self, demand: &Demand) -> Preference {
         let packing = self.fleet.workspaces.rows[demand.workspace].knobs.packing;
         let offset = usize::try_from(self.seed % 1_024).unwrap_or(0);
-        Preference { packing, offset, others: self.others, stake: self.stake(demand) }
+        Preference {
+            packing,
+            offset,
+            other_domains: self.other_domains,
+            impact: self.guarantee_impact(demand),
+        }
     }
 
-    /// Guesses what a gang will mean to guarantees: whether its cells fit into what is unbound.
-    fn stake(&self, demand: &Demand) -> Stake {
+    /// Estimates how a gang affects guarantees: whether its cells fit into its workspace's unbound
+    /// cells.
+    fn guarantee_impact(&self, demand: &Demand) -> GuaranteeImpact {
         let unbound = self.fleet.workspaces.rows[demand.workspace].cells.unbound();
         let tightest = Shape::tightest(demand.devices);
         let needed = LEVELS.into_iter().rev().find(|level| tightest.count(*level) > 0);
@@ -489,8 +498,8 @@
             larger.into_iter().find(|level| unbound.count(*level) > 0)
         });
         match binds {
-            Some(level) if unbound.holds(&tightest) => Stake::Binds(level),
-            _ => Stake::Borrows { checkpointable: demand.checkpointable },
+            Some(level) if unbound.holds(&tightest) => GuaranteeImpact::Binds(level),
+            _ => GuaranteeImpact::Borrows { checkpointable: demand.checkpointable },
         }
     }
 
@@ -503,7 +512,7 @@
     }
 }
 
-/// Returns the token of the gang that a state has devices through.
+/// Returns the fencing token of a job's gang; a waiting job has none.
 fn gang_token(state: &JobState) -> Option<FencingToken> {
     match state {
         JobState::Waiting => None,
@@ -513,7 +522,9 @@
     }
 }
 
-/// Returns a pause that grows with the refusals and differs by seed, so that two planners part.
+/// Returns a pause whose upper bound grows with the number of refusals.
+///
+/// The pause depends on the seed, so that two planners that conflict don't retry at the same time.
 fn backoff(seed: u64, longest_ms: u64, refusals: u32) -> Duration {
     const FIRST_MS: u64 = 20;
     let ceiling = (FIRST_MS << refusals.min(16)).min(longest_ms.max(1));
--- a/crates/rampbay-core/src/plan/place_jobs.rs
+++ b/crates/rampbay-core/src/plan/place_jobs.rs
@@ -12,7 +12,7 @@
     ids::{FencingToken, JobId},
     job::{Adjacency, Class},
     lease::LeaseMeta,
-    place::{Found, IndexedPart, Stake, Usable, find, find_among},
+    place::{Found, GuaranteeImpact, IndexedPart, Usable, find, find_among},
     reason::Reason,
     reclaim,
     shape::Shape,
@@ -24,8 +24,8 @@
 /// Order of service; the smallest goes first.
 type ServiceKey = (Class, bool, u64, Duration);
 
-/// What came of trying to start one job.
-enum Tried {
+/// The outcome of an attempt to start a job.
+enum StartAttempt {
     Started,
     Blocked(Reason),
 }
@@ -36,7 +36,11 @@
         let demands: Vec<Demand> = if self.capacity_gained {
             self.queue.keys().cloned().collect()
         } else {
-            self.fresh.iter().filter(|demand| self.queue.contains_key(*demand)).cloned().collect()
+            self.new_demands
+                .iter()
+                .filter(|demand| self.queue.contains_key(*demand))
+                .cloned()
+                .collect()
         };
         let mut heap: BinaryHeap<Reverse<(ServiceKey, Demand)>> = BinaryHeap::new();
         for demand in demands {
@@ -53,13 +57,13 @@
                 continue;
             };
             match self.try_start(&job, &demand, now, commands) {
-                Tried::Started => {
+                StartAttempt::Started => {
                     left -= 1;
                     if let Some(key) = self.service_key(&demand, now) {
                         heap.push(Reverse((key, demand)));
                     }
                 }
-                Tried::Blocked(reason) => {
+                StartAttempt::Blocked(reason) => {
                     self.blocked.insert(demand, reason);
                 }
             }
@@ -78,7 +82,8 @@
         let row = &mut self.fleet.workspaces.rows[demand.workspace];
         row.accrue(now);
         let owned = row.unused.devices() >= demand.devices;
-        // What is held now counts like the coming minutes of use, so that shares part at once.
+        // Devices held now also count as used for `HORIZON_SECONDS` to come, so that a start lowers
+        // the workspace's priority at once.
         const HORIZON_SECONDS: f64 = 600.0;
         let held = f64::from(row.held_devices) / f64::from(row.knobs.weight.max(1));
         let share = row.share() + held * HORIZON_SECONDS;
@@ -91,36 +96,37 @@
         demand: &Demand,
         now: Duration,
         commands: &mut Vec<Command>,
-    ) -> Tried {
+    ) -> StartAttempt {
         let knobs = &self.fleet.workspaces.rows[demand.workspace].knobs;
         let limit = knobs.running_limit;
         let running = self.fleet.workspaces.rows[demand.workspace].gangs.len();
         if running >= limit as usize {
-            return Tried::Blocked(Reason::RunningLimit { limit });
+            return StartAttempt::Blocked(Reason::RunningLimit { limit });
         }
         let mut reason = None;
         let closed = self.closed_to(job, demand, now);
         for devices in sizes(demand) {
             match self.try_free(job, demand, devices, &closed, now, commands) {
-                Tried::Started => return Tried::Started,
-                Tried::Blocked(why) => reason = reason.or(Some(why)),
+                StartAttempt::Started => return StartAttempt::Started,
+                StartAttempt::Blocked(why) => reason = reason.or(Some(why)),
             }
         }
-        // An owner goes into reserved places before others have to stop for it.
+        // An owner may use reserved workers; that is tried before other gangs are stopped for it.
         let unused = self.fleet.workspaces.rows[demand.workspace].unused;
         let owner = unused.holds(&Shape::tightest(demand.devices));
         if owner
             && !closed.is_empty()
-            && let Tried::Started = self.try_free(job, demand, demand.devices, &[], now, commands)
+            && let StartAttempt::Started =
+                self.try_free(job, demand, demand.devices, &[], now, commands)
         {
-            return Tried::Started;
+            return StartAttempt::Started;
         }
         for devices in sizes(demand) {
             if self.try_reclaim(job, demand, devices, now, commands) {
-                return Tried::Started;
+                return StartAttempt::Started;
             }
         }
-        Tried::Blocked(reason.unwrap_or(Reason::Queued))
+        StartAttempt::Blocked(reason.unwrap_or(Reason::Queued))
     }
 
     /// Tries to start on free devices: in the workspace's own cells, then anywhere.
@@ -132,11 +138,11 @@
         closed: &[usize],
         now: Duration,
         commands: &mut Vec<Command>,
-    ) -> Tried {
+    ) -> StartAttempt {
         let preference = self.preference(demand);
-        let avoids_owners = loses_much(demand, preference.stake);
+        let avoids_owners = has_costly_restart(demand, preference.impact);
         let usable = |index: usize, row: &WorkerRow| {
-            let kept = if closed.contains(&index) { row.earmarked } else { 0 };
+            let kept = if closed.contains(&index) { row.reserved } else { 0 };
             let owners = if avoids_owners { row.bound_by_others(demand.workspace) } else { 0 };
             row.free() & !kept & !owners
         };
@@ -145,16 +151,16 @@
             .or_else(|| self.try_open_cell(job, demand, devices, &usable, now));
         if let Some(token) = own {
             self.begin(job, token, commands);
-            return Tried::Started;
+            return StartAttempt::Started;
         }
         let parts = match find(&self.fleet.workers, demand, devices, preference, &usable) {
             Found::Place(parts) => parts,
             Found::NoRoom { best } => {
-                return Tried::Blocked(self.no_room(demand, devices, best, closed));
+                return StartAttempt::Blocked(self.no_room(demand, devices, best, closed));
             }
         };
         let admitted = self.admit(job, demand, parts.clone(), &[], Claim::IfItFits, now);
-        // In a place where it can't have a cell of its own it may still borrow.
+        // Where the gang can't bind a cell of its own guarantee, it may still borrow the devices.
         let admitted = admitted.or_else(|why| match why {
             Reason::ProtectsGuarantee { .. } if demand.reclaimable => {
                 self.admit(job, demand, parts, &[], Claim::AsLeased(None), now)
@@ -164,13 +170,13 @@
         match admitted {
             Ok(token) => {
                 self.begin(job, token, commands);
-                Tried::Started
+                StartAttempt::Started
             }
-            Err(why) => Tried::Blocked(why),
+            Err(why) => StartAttempt::Blocked(why),
         }
     }
 
-    /// Tries free devices in cells that the workspace could bind whole.
+    /// Tries free devices in cells that the workspace could bind as a whole.
     fn try_open_cell(
         &mut self,
         job: &JobId,
@@ -180,7 +186,7 @@
         now: Duration,
     ) -> Option<FencingToken> {
         let preference = self.preference(demand);
-        let Stake::Binds(level) = preference.stake else { return None };
+        let GuaranteeImpact::Binds(level) = preference.impact else { return None };
         let workers = &self.fleet.workers;
         let in_open_cell = |index: usize, row: &WorkerRow| {
             usable.devices(index, row) & workers.open_cells(index, level)
@@ -191,8 +197,8 @@
         }
     }
 
-    /// Tries the free rest of cells that are bound to the workspace already: what starts there
-    /// breaks no other cell.
+    /// Tries the free devices of cells that are already bound to the workspace: a gang that starts
+    /// there breaks no other cell.
     fn try_bound(
         &mut self,
         job: &JobId,
@@ -205,16 +211,16 @@
         for (worker, devices) in bindings.iter().flat_map(Binding::rest) {
             *rest.entry(worker).or_default() |= devices;
         }
-        let room: u32 = rest.values().map(|mask| mask.count_ones()).sum();
-        if room < devices {
+        let capacity: u32 = rest.values().map(|mask| mask.count_ones()).sum();
+        if capacity < devices {
             return None;
         }
         let usable =
             |index: usize, row: &WorkerRow| rest.get(&index).map_or(0, |mask| mask & row.free());
         let members: Vec<usize> = rest.keys().copied().collect();
-        let together = within_adjacency(&self.fleet.workers, &members, demand.adjacency);
+        let groups = within_adjacency(&self.fleet.workers, &members, demand.adjacency);
         let preference = self.preference(demand);
-        for members in together {
+        for members in groups {
             let workers = &self.fleet.workers;
             let found = find_among(workers, &members, demand, devices, preference, &usable);
             if let Found::Place(parts) = found
@@ -241,7 +247,7 @@
         }
     }
 
-    /// Tries to start on devices that others give back.
+    /// Tries to start on devices that other gangs yield.
     fn try_reclaim(
         &mut self,
         job: &JobId,
@@ -258,7 +264,7 @@
         let preference = self.preference(demand);
         let cells =
             if owned { reclaim::cell_plans(&self.fleet, demand, devices, now) } else { Vec::new() };
-        let groups = reclaim::plans(&self.fleet, demand, devices, owned, preference, now);
+        let groups = reclaim::group_plans(&self.fleet, demand, devices, owned, preference, now);
         for plan in cells.into_iter().chain(groups) {
             let victims: Vec<_> = plan.victims.keys().copied().collect();
             if let Ok(token) = self.admit(job, demand, plan.parts, &victims, Claim::IfItFits, now) {
@@ -273,9 +279,10 @@
         false
     }
 
-    /// Puts a gang into the tables if every guarantee can still be reclaimed with it there.
+    /// Adds a gang to the tables if the limits allow it and no more devices are then missing for
+    /// the guarantees than before.
     ///
-    /// `victims` are gangs that give way for it.
+    /// `victims` are the gangs that yield to the new gang.
     fn admit(
         &mut self,
         job: &JobId,
@@ -285,24 +292,24 @@
         claim: Claim,
         now: Duration,
     ) -> Result<FencingToken, Reason> {
-        let short_before = self.fleet.short();
+        let short_before = self.fleet.missing_cells();
         let borrowed_before = self.fleet.workspaces.rows[demand.workspace].borrowed_devices;
         let removed: Vec<Gang> =
             victims.iter().filter_map(|token| self.fleet.remove(*token)).collect();
         let token = self.next_token(now);
         let gang = self.new_gang(job, demand, token, parts, now);
         self.fleet.insert(gang, claim);
-        let mut verdict = self.verdict(demand, token, short_before, borrowed_before);
-        // Nobody stops for work that would itself borrow, but for urgent work.
+        let mut result = self.check_admission(demand, token, short_before, borrowed_before);
+        // No gang is stopped for work that would itself borrow, unless that work is urgent.
         let borrows = !self.fleet.gangs[&token].owned;
         if !victims.is_empty() && borrows && demand.class != Class::Urgent {
-            verdict = verdict.and(Err(Reason::NeedsOwnCells));
+            result = result.and(Err(Reason::NeedsOwnCells));
         }
-        if verdict.is_err() {
+        if result.is_err() {
             self.fleet.remove(token);
         }
         for mut gang in removed {
-            if verdict.is_ok() {
+            if result.is_ok() {
                 gang.yields_to = Some(job.clone());
             }
             let yields = gang.yields_to.is_some();
@@ -313,17 +320,17 @@
                 self.fleet.withdraw_lent(token);
             }
         }
-        verdict.map(|()| token)
+        result.map(|()| token)
     }
 
-    fn verdict(
+    fn check_admission(
         &self,
         demand: &Demand,
         token: FencingToken,
         short_before: Shape,
         borrowed_before: u32,
     ) -> Result<(), Reason> {
-        let short = self.fleet.short();
+        let short = self.fleet.missing_cells();
         if short.devices() > short_before.devices() {
             return Err(Reason::ProtectsGuarantee { short });
         }
@@ -388,7 +395,7 @@
         }
     }
 
-    /// Takes a job out of the queue and asks for its start.
+    /// Removes a job from the queue and adds the command to start its gang.
     pub(super) fn begin(&mut self, job: &JobId, token: FencingToken, commands: &mut Vec<Command>) {
         self.dequeue(job);
         let Some(row) = self.jobs.get_mut(job) else {
@@ -405,16 +412,19 @@
     }
 }
 
-/// Whether a gang that borrows would lose much work when an owner asks for its devices: then it
-/// keeps away from cells whose owner is active.
-fn loses_much(demand: &Demand, stake: Stake) -> bool {
+/// Returns whether a gang that borrows would lose much work when an owner reclaims its devices.
+///
+/// Such a gang isn't placed on cells whose owner is active.
+fn has_costly_restart(demand: &Demand, impact: GuaranteeImpact) -> bool {
     const LARGE: u32 = 8;
     const SHORT_MS: u64 = 15 * 60 * 1_000;
     let short = demand.expected_ms.is_some_and(|ms| ms <= SHORT_MS);
-    stake == Stake::Borrows { checkpointable: false } && demand.devices >= LARGE && !short
+    impact == GuaranteeImpact::Borrows { checkpointable: false }
+        && demand.devices >= LARGE
+        && !short
 }
 
-/// Divides workers into groups that an adjacency allows a gang to span.
+/// Divides workers into the groups within which an adjacency lets a gang spread.
 fn within_adjacency(
     workers: &WorkerTable,
     members: &[usize],
@@ -434,7 +444,7 @@
     groups.into_values().collect()
 }
 
-/// Sizes to try: the full one, then halves down to the smallest.
+/// Returns the sizes to try: the full one, then repeatedly half of that, down to the smallest.
 fn sizes(demand: &Demand) -> Vec<u32> {
     let mut sizes = vec![demand.devices];
     let mut devices = demand.devices / 2;
--- a/crates/rampbay-spec/tests/implementation.rs
+++ b/crates/rampbay-spec/tests/implementation.rs
@@ -359,7 +359,7 @@
                 4 => log.push(Record::Snapshot(readers[at].snapshot()).encode()),
                 _ => {
                     let snapshot = readers[1 - at].snapshot();
-                    readers[at].take(&snapshot);
+                    readers[at].install_snapshot(&snapshot);
                 }
             }
             if what != 5 {
@@ -382,7 +382,7 @@
         // A reader that starts after retention reaches the same table from a snapshot.
         let snapshot = readers[0].snapshot();
         let mut late = TableState::default();
-        prop_assert!(late.take(&snapshot) || snapshot.version == 0);
+        prop_assert!(late.install_snapshot(&snapshot) || snapshot.version == 0);
         prop_assert_eq!(late.rows(), readers[1].rows());
     }
 
