--- a/crates/rampbay-demo/src/site.rs
+++ b/crates/rampbay-demo/src/site.rs
@@ -13,7 +13,7 @@
     entry::{Entry, EntryError},
     settings::EntrySettings,
 };
-use rampbay_node::serve::Serving;
+use rampbay_node::serve::HttpServer;
 use rampbay_platform::{
     boxes::{BoxRow, Role},
     log::{Log, LogError},
@@ -145,7 +145,7 @@
     pub addr: SocketAddr,
     /// The side process; absent while it is down.
     pub side: Option<Side>,
-    _serving: Serving,
+    _serving: HttpServer,
 }
 
 /// A running site.
@@ -159,7 +159,7 @@
     /// The entries; one is absent while it is down.
     pub entries: Vec<Option<Entry>>,
     options: SiteOptions,
-    _platform_serving: Serving,
+    _platform_serving: HttpServer,
 }
 
 const ANY_PORT: SocketAddr =
--- a/crates/rampbay-entry/src/dispatching.rs
+++ b/crates/rampbay-entry/src/dispatching.rs
@@ -236,7 +236,7 @@
 
     fn send(&self, side: &ProcessId, message: Message) {
         if let Some(addr) = self.addrs.get(side) {
-            self.shared.post.send(*addr, message);
+            self.shared.outbox.send(*addr, message);
         }
     }
 
--- a/crates/rampbay-entry/src/entry.rs
+++ b/crates/rampbay-entry/src/entry.rs
@@ -3,7 +3,7 @@
 use std::{io, net::SocketAddr, sync::Arc, sync::atomic::Ordering, time::Duration};
 
 use rampbay_core::ids::ProcessId;
-use rampbay_node::{draw_incarnation, serve::Serving};
+use rampbay_node::{draw_incarnation, serve::HttpServer};
 use rampbay_platform::{
     boxes::Boxes,
     http::{HttpBoxes, HttpLog, HttpWorkers},
@@ -14,7 +14,7 @@
     clock::Clock,
     envelope::{Envelope, Message},
     event::Code,
-    mailbox::{LinkCounts, Mailbox, Post},
+    mailbox::{LinkCounts, Mailbox, Outbox},
 };
 use thiserror::Error;
 
@@ -94,15 +94,15 @@
 /// A running entry.
 pub struct Entry {
     parts: Parts,
-    callers: Serving,
-    operators: Serving,
+    callers: HttpServer,
+    operators: HttpServer,
     mailbox: SocketAddr,
 }
 
 impl Drop for Entry {
     fn drop(&mut self) {
         self.parts.shared.abort_tasks();
-        self.parts.shared.post.retain(&[]);
+        self.parts.shared.outbox.retain(&[]);
     }
 }
 
@@ -131,8 +131,9 @@
         let counts = Arc::new(LinkCounts::default());
         let mailbox = Mailbox::listen(settings.mailbox, clock.clone(), counts.clone()).await?;
         let addr = mailbox.addr();
-        let post = Post::new(settings.id.clone(), incarnation, addr, clock.clone(), counts.clone());
-        let shared = Arc::new(Shared::new(settings, incarnation, clock, post, counts));
+        let outbox =
+            Outbox::new(settings.id.clone(), incarnation, addr, clock.clone(), counts.clone());
+        let shared = Arc::new(Shared::new(settings, incarnation, clock, outbox, counts));
         let parts = Parts {
             dispatching: Dispatching::start(shared.clone()),
             gangs: Gangs::start(shared.clone(), borders.workers.clone()),
@@ -142,9 +143,9 @@
         };
         let followers =
             Followers { dispatching: parts.dispatching.clone(), gangs: parts.gangs.clone() };
-        let callers = Serving::start(shared.settings.callers, callers::router(&parts)).await?;
+        let callers = HttpServer::start(shared.settings.callers, callers::router(&parts)).await?;
         let operators =
-            Serving::start(shared.settings.operators, operators::router(&parts)).await?;
+            HttpServer::start(shared.settings.operators, operators::router(&parts)).await?;
         shared.spawn(receive(shared.clone(), mailbox, followers.clone()));
         shared.spawn(table::follow(shared.clone(), borders.log, followers));
         let dispatching = parts.dispatching.clone();
@@ -216,7 +217,7 @@
     while let Some(envelope) = mailbox.next().await {
         let Envelope { reply_to, .. } = envelope;
         match envelope.message {
-            Message::Events(events) => shared.timeline.absorb(events),
+            Message::Events(events) => shared.timeline.merge(events),
             Message::TableQuery { have } => table::answer_query(&shared, reply_to, have),
             Message::Table(record) => table::take_from_peer(&shared, &followers, &record),
             Message::Hello => {}
@@ -240,6 +241,6 @@
     };
     let events = shared.timeline.take_unsent(EVENTS_AT_ONCE);
     if !events.is_empty() {
-        shared.post.send(*addr, Message::Events(events));
+        shared.outbox.send(*addr, Message::Events(events));
     }
 }
--- a/crates/rampbay-entry/src/membership.rs
+++ b/crates/rampbay-entry/src/membership.rs
@@ -35,7 +35,7 @@
         if greeted.is_none_or(|at| shared.now().saturating_sub(at) >= HELLO_EVERY) {
             greeted = Some(shared.now());
             for row in talks_to.iter().filter(|row| row.id != shared.settings.id) {
-                shared.post.send(row.mailbox, Message::Hello);
+                shared.outbox.send(row.mailbox, Message::Hello);
             }
         }
         tokio::time::sleep(poll).await;
@@ -68,7 +68,7 @@
     let entries = rows.iter().filter(|row| row.role == Role::Entry);
     let talks_to: Vec<BoxRow> = sides.iter().chain(entries).cloned().collect();
     let keep: Vec<_> = talks_to.iter().map(|row| row.mailbox).collect();
-    shared.post.retain(&keep);
+    shared.outbox.retain(&keep);
     dispatching.tell(Input::Listed(sides));
     talks_to
 }
--- a/crates/rampbay-entry/src/shared.rs
+++ b/crates/rampbay-entry/src/shared.rs
@@ -25,7 +25,7 @@
 use rampbay_wire::{
     clock::Clock,
     event::{Code, Timeline},
-    mailbox::{LinkCounts, Post},
+    mailbox::{LinkCounts, Outbox},
 };
 use tokio::task::AbortHandle;
 
@@ -43,7 +43,7 @@
     /// The time line.
     pub timeline: Timeline,
     /// The link to other processes.
-    pub post: Post,
+    pub outbox: Outbox,
     /// Counts of the link.
     pub link_counts: Arc<LinkCounts>,
     /// The accepted table.
@@ -112,7 +112,7 @@
         settings: EntrySettings,
         incarnation: Incarnation,
         clock: Arc<Clock>,
-        post: Post,
+        outbox: Outbox,
         link_counts: Arc<LinkCounts>,
     ) -> Self {
         let limits = settings.limits;
@@ -121,7 +121,7 @@
             incarnation,
             clock,
             timeline: Timeline::new(settings.id.clone(), limits.timeline_events),
-            post,
+            outbox,
             link_counts,
             table: RwLock::default(),
             jobs: Jobs::new(keep, limits.kept_answer_bytes, limits.requests, limits.held_bytes),
--- a/crates/rampbay-entry/src/table.rs
+++ b/crates/rampbay-entry/src/table.rs
@@ -102,7 +102,7 @@
     fn ask_peers(&self) {
         let have = self.shared.table().version();
         for (_, addr) in self.shared.peers() {
-            self.shared.post.send(addr, Message::TableQuery { have });
+            self.shared.outbox.send(addr, Message::TableQuery { have });
         }
     }
 
@@ -188,7 +188,7 @@
     let table = shared.table();
     if table.version() > have {
         let record = Record::Snapshot(table.snapshot()).encode();
-        shared.post.send(to, Message::Table(record));
+        shared.outbox.send(to, Message::Table(record));
     }
 }
 
--- a/crates/rampbay-node/src/serve.rs
+++ b/crates/rampbay-node/src/serve.rs
@@ -19,13 +19,13 @@
 
 /// A server that runs until it is stopped or dropped.
 #[derive(Debug)]
-pub struct Serving {
+pub struct HttpServer {
     addr: SocketAddr,
     handle: ServerHandle,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Serving {
+impl HttpServer {
     /// Serves a router at an address; port 0 takes a free one.
     ///
     /// # Errors
@@ -60,7 +60,7 @@
     }
 }
 
-impl Drop for Serving {
+impl Drop for HttpServer {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/rampbay-side/src/side.rs
+++ b/crates/rampbay-side/src/side.rs
@@ -13,13 +13,13 @@
     message::{AttemptId, Load},
     register::{Action, Register},
 };
-use rampbay_node::{draw_incarnation, logs, metrics::Metrics, serve::Serving};
+use rampbay_node::{draw_incarnation, logs, metrics::Metrics, serve::HttpServer};
 use rampbay_platform::{http::HttpUpstream, upstream::Upstream};
 use rampbay_wire::{
     clock::Clock,
     envelope::{Envelope, Message},
     event::{Code, Timeline},
-    mailbox::{LinkCounts, Mailbox, Post},
+    mailbox::{LinkCounts, Mailbox, Outbox},
 };
 use thiserror::Error;
 use tokio::{
@@ -70,7 +70,7 @@
     commands: mpsc::UnboundedSender<Command>,
     counts: Arc<LinkCounts>,
     task: JoinHandle<()>,
-    _serving: Serving,
+    _serving: HttpServer,
 }
 
 impl Side {
@@ -98,12 +98,13 @@
         let counts = Arc::new(LinkCounts::default());
         let mailbox = Mailbox::listen(settings.mailbox, clock.clone(), counts.clone()).await?;
         let addr = mailbox.addr();
-        let post = Post::new(settings.id.clone(), incarnation, addr, clock.clone(), counts.clone());
+        let outbox =
+            Outbox::new(settings.id.clone(), incarnation, addr, clock.clone(), counts.clone());
         let (commands, commands_rx) = mpsc::unbounded_channel();
         let (health_tx, health) = watch::channel(Health { serving: true, used: 0, waiting: 0 });
         let metrics = Metrics::default();
         let router = http::router(&metrics, &health, &commands);
-        let serving = Serving::start(settings.http, router).await?;
+        let serving = HttpServer::start(settings.http, router).await?;
         let (done_tx, done_rx) = mpsc::unbounded_channel();
         let state = State {
             register: Register::new(incarnation, settings.slots, settings.queue),
@@ -119,7 +120,7 @@
             id: settings.id.clone(),
             max_answer: settings.max_answer_bytes,
             clock,
-            post,
+            outbox,
             upstream,
             done_tx,
             health_tx,
@@ -188,7 +189,7 @@
     register: Register,
     timeline: Timeline,
     clock: Arc<Clock>,
-    post: Post,
+    outbox: Outbox,
     upstream: Arc<dyn Upstream>,
     max_answer: usize,
     started: Instant,
@@ -329,7 +330,7 @@
 
     fn send(&self, to: &ProcessId, message: Message) {
         if let Some((addr, _)) = self.entries.get(to) {
-            self.post.send(*addr, message);
+            self.outbox.send(*addr, message);
         }
     }
 
@@ -341,7 +342,7 @@
         self.entries.retain(|_, (_, heard)| now.saturating_sub(*heard) < FORGET_ENTRY);
         if self.entries.len() != before {
             let keep: Vec<SocketAddr> = self.entries.values().map(|(addr, _)| *addr).collect();
-            self.post.retain(&keep);
+            self.outbox.retain(&keep);
         }
         self.report_if_due(now);
         self.send_events();
@@ -366,13 +367,13 @@
             waiting: load.waiting,
         });
         for (addr, _) in self.entries.values() {
-            self.post.send(*addr, Message::Load(load.clone()));
+            self.outbox.send(*addr, Message::Load(load.clone()));
         }
         self.reported = Some(load);
     }
 
     fn report_to(&self, to: SocketAddr) {
-        self.post.send(to, Message::Load(self.register.load()));
+        self.outbox.send(to, Message::Load(self.register.load()));
     }
 
     /// Sends events on to one entry, so that they outlive this box.
@@ -381,7 +382,7 @@
         let Some((addr, _)) = latest else { return };
         let events = self.timeline.take_unsent(EVENTS_AT_ONCE);
         if !events.is_empty() {
-            self.post.send(*addr, Message::Events(events));
+            self.outbox.send(*addr, Message::Events(events));
         }
     }
 }
--- a/crates/rampbay-standin/src/http.rs
+++ b/crates/rampbay-standin/src/http.rs
@@ -4,7 +4,7 @@
 
 use async_trait::async_trait;
 use bytes::Bytes;
-use rampbay_node::serve::{Serving, render_json};
+use rampbay_node::serve::{HttpServer, render_json};
 use rampbay_platform::{
     boxes::{BoxRow, Boxes},
     http::{
@@ -226,7 +226,7 @@
 /// # Errors
 ///
 /// Returns an error if the address can't be listened on.
-pub async fn serve_platform(addr: SocketAddr, platform: Platform) -> io::Result<Serving> {
+pub async fn serve_platform(addr: SocketAddr, platform: Platform) -> io::Result<HttpServer> {
     let api = |endpoint| Api { platform: platform.clone(), endpoint };
     let router = Router::new()
         .push(
@@ -239,7 +239,7 @@
         .push(Router::with_path("workers/{id}/{call}").post(api(Endpoint::WorkerCall)))
         .push(Router::with_path("record").get(api(Endpoint::Record)))
         .push(Router::with_path("faults/{name}").post(api(Endpoint::Faults)));
-    Serving::start(addr, router).await
+    HttpServer::start(addr, router).await
 }
 
 struct UpstreamApi {
@@ -299,11 +299,14 @@
 /// # Errors
 ///
 /// Returns an error if the address can't be listened on.
-pub async fn serve_upstream(addr: SocketAddr, upstream: Arc<UpstreamModel>) -> io::Result<Serving> {
+pub async fn serve_upstream(
+    addr: SocketAddr,
+    upstream: Arc<UpstreamModel>,
+) -> io::Result<HttpServer> {
     let api = |endpoint| UpstreamApi { upstream: upstream.clone(), endpoint };
     let router = Router::new()
         .push(Router::with_path("work").post(api(UpstreamEndpoint::Work)))
         .push(Router::with_path("record").get(api(UpstreamEndpoint::Record)))
         .push(Router::with_path("faults").post(api(UpstreamEndpoint::Faults)));
-    Serving::start(addr, router).await
+    HttpServer::start(addr, router).await
 }
--- a/crates/rampbay-standin/src/main.rs
+++ b/crates/rampbay-standin/src/main.rs
@@ -3,7 +3,7 @@
 use std::{io, net::SocketAddr, process::ExitCode, sync::Arc, time::Duration};
 
 use argh::FromArgs;
-use rampbay_node::serve::Serving;
+use rampbay_node::serve::HttpServer;
 use rampbay_platform::log::Log;
 use rampbay_standin::{
     boxes::BoxesModel,
@@ -62,7 +62,7 @@
     platform.log.append("table", record).await.map_err(io::Error::other)?;
     let serving = serve_platform(args.platform, platform).await?;
     println!("platform ({}) at {}", site.name, serving.addr());
-    let mut upstreams: Vec<Serving> = Vec::new();
+    let mut upstreams: Vec<HttpServer> = Vec::new();
     for at in 0..args.upstreams {
         let port = args.upstream_port + u16::try_from(at).unwrap_or(0);
         let addr = SocketAddr::new(args.platform.ip(), port);
--- a/crates/rampbay-wire/src/event.rs
+++ b/crates/rampbay-wire/src/event.rs
@@ -169,7 +169,7 @@
     }
 
     /// Takes in events of another process.
-    pub fn absorb(&self, events: Vec<Event>) {
+    pub fn merge(&self, events: Vec<Event>) {
         let mut inner = self.lock();
         for event in events {
             self.push(&mut inner, event);
--- a/crates/rampbay-wire/src/mailbox.rs
+++ b/crates/rampbay-wire/src/mailbox.rs
@@ -123,7 +123,7 @@
 
 /// The outgoing side of a process's link. Sending never waits.
 #[derive(Debug)]
-pub struct Post {
+pub struct Outbox {
     from: ProcessId,
     incarnation: Incarnation,
     reply_to: SocketAddr,
@@ -132,7 +132,7 @@
     peers: Mutex<HashMap<SocketAddr, mpsc::Sender<Vec<u8>>>>,
 }
 
-impl Post {
+impl Outbox {
     /// Creates the outgoing side for a process whose mailbox is at `reply_to`.
     #[must_use]
     pub fn new(
