--- a/crates/rampbay-node/src/lib.rs
+++ b/crates/rampbay-node/src/lib.rs
@@ -7,7 +7,7 @@
 
 use rampbay_core::ids::Incarnation;
 
-/// Draws the incarnation of a process that starts.
+/// Returns a random incarnation for a process that starts; never 0.
 #[must_use]
 pub fn draw_incarnation() -> Incarnation {
     rand::random::<u64>().max(1)
--- a/crates/rampbay-node/src/logs.rs
+++ b/crates/rampbay-node/src/logs.rs
@@ -33,7 +33,7 @@
             out.finish(format_args!("{line}"));
         })
         .chain(io::stderr());
-    // A process that runs several daemons starts logging several times; the first one counts.
+    // A process that runs several daemons calls this several times; only the first has effect.
     let _ = dispatch.apply();
     Ok(())
 }
--- a/crates/rampbay-node/src/serve.rs
+++ b/crates/rampbay-node/src/serve.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of a process, on the salvo library.
+//! The HTTP server of a process, built on the salvo library.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -9,15 +9,15 @@
 use serde::Serialize;
 use tokio::net::TcpListener;
 
-/// Connections that a server holds at most.
+/// The most connections that a server keeps open.
 pub const MAX_CONNECTIONS: usize = 16_384;
 /// Time in which a caller must have sent its request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time in which a caller must have sent its whole body, or taken some of an answer.
+/// Time in which a caller must have sent its whole body, or read some of an answer.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A server that runs until it is stopped or dropped.
+/// An HTTP server that runs until it is stopped or dropped.
 #[derive(Debug)]
 pub struct HttpServer {
     addr: SocketAddr,
@@ -45,16 +45,16 @@
         Ok(Self { addr, handle, task })
     }
 
-    /// Returns the address that is listened on.
+    /// Returns the address that the server listens on.
     #[must_use]
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Takes no new connections and waits until requests in progress are answered, at most for
-    /// `longest`.
-    pub async fn drain(&mut self, longest: Duration) {
-        self.handle.stop_graceful(longest);
+    /// Accepts no new connections and waits until requests in progress are answered, at most for
+    /// `max_wait`.
+    pub async fn drain(&mut self, max_wait: Duration) {
+        self.handle.stop_graceful(max_wait);
         // The task ends when the last answer is out; a panic in it has been logged by then.
         let _ = (&mut self.task).await;
     }
--- a/crates/rampbay-node/src/settings.rs
+++ b/crates/rampbay-node/src/settings.rs
@@ -1,18 +1,18 @@
-//! Settings in JSON, checked whole before a process starts.
+//! Settings in JSON, validated completely before a process starts.
 
 use std::{fmt, fs, path::Path, process::ExitCode};
 
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// One fault of a settings file.
+/// One invalid value in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
     /// Where in the file, for example `limits.body_bytes`.
     pub path: String,
-    /// What stands there.
+    /// The value found there.
     pub value: String,
-    /// What range and unit is expected.
+    /// The expected range and unit.
     pub expected: String,
 }
 
@@ -82,15 +82,15 @@
         /// Why.
         source: std::io::Error,
     },
-    /// The text isn't JSON of the settings' form.
+    /// The text isn't JSON, or its structure isn't that of the settings.
     #[error("settings are not of the expected form: {0}")]
     Form(#[from] serde_json::Error),
     /// Values are out of their ranges.
-    #[error("settings have {} fault(s):\n{}", .0.len(), list(.0))]
+    #[error("settings have {} fault(s):\n{}", .0.len(), fault_lines(.0))]
     Faults(Vec<Fault>),
 }
 
-fn list(faults: &[Fault]) -> String {
+fn fault_lines(faults: &[Fault]) -> String {
     faults.iter().map(|fault| format!("  {fault}")).collect::<Vec<_>>().join("\n")
 }
 
@@ -105,12 +105,12 @@
     parse(&text)
 }
 
-/// Reads the settings of a daemon as its command line says.
+/// Reads and checks the settings of a daemon; with `check` set, the daemon ends after the check.
 ///
 /// # Errors
 ///
 /// Returns the exit code with which the daemon ends at once: 0 after `--check` found nothing wrong,
-/// 2 for settings that can't be used, whose faults have been written to standard error.
+/// 2 for settings that can't be used, after their faults were written to standard error.
 pub fn for_daemon<T: DeserializeOwned + Checked>(path: &Path, check: bool) -> Result<T, ExitCode> {
     match load(path) {
         Ok(_) if check => {
@@ -120,13 +120,13 @@
         Ok(settings) => Ok(settings),
         Err(e) => {
             eprintln!("{e}");
-            Err(ExitCode::from(BAD_SETTINGS))
+            Err(ExitCode::from(INVALID_SETTINGS_EXIT))
         }
     }
 }
 
 /// Exit code of a daemon whose settings can't be used.
-const BAD_SETTINGS: u8 = 2;
+const INVALID_SETTINGS_EXIT: u8 = 2;
 
 /// Parses and checks settings.
 ///
--- a/crates/rampbay-platform/src/boxes.rs
+++ b/crates/rampbay-platform/src/boxes.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving boxes, which lags.
+//! The platform's list of live and leaving boxes, which lags behind their actual state.
 
 use std::net::SocketAddr;
 
@@ -7,13 +7,13 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// What a listed process does.
+/// The role of a listed process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
     /// An entry.
     Entry,
-    /// The process beside an upstream.
+    /// The side process of an upstream.
     Side,
 }
 
@@ -22,7 +22,7 @@
 pub struct BoxRow {
     /// The process's name.
     pub id: ProcessId,
-    /// What it does.
+    /// The process's role.
     pub role: Role,
     /// The address of its mailbox.
     pub mailbox: SocketAddr,
@@ -32,12 +32,12 @@
     pub leaving: bool,
 }
 
-/// Why the list can't be had.
+/// Why the list can't be read.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("list of boxes can't be read: {0}")]
 pub struct BoxesError(pub String);
 
-/// The list.
+/// The platform's list of boxes.
 #[async_trait]
 pub trait Boxes: Send + Sync {
     /// Returns every listed process.
--- a/crates/rampbay-platform/src/http.rs
+++ b/crates/rampbay-platform/src/http.rs
@@ -30,7 +30,7 @@
 /// The largest answer of the platform that is read, in bytes.
 const MAX_PLATFORM_ANSWER: usize = 64 * 1024 * 1024;
 /// How long an unused connection is kept.
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Bytes as base64 text in JSON.
 pub mod base64_bytes {
@@ -102,7 +102,7 @@
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .pool_max_idle_per_host(max_idle)
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_timer(TokioTimer::new())
             .build(connector);
         Self { client, addr }
@@ -263,7 +263,7 @@
     client: OnceClient,
 }
 
-/// Asks for a commit.
+/// The body of a commit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommitRequest {
     /// The gang.
@@ -272,14 +272,14 @@
     pub lease_ms: u64,
 }
 
-/// Names a gang.
+/// The body of a request that only names a gang.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenRequest {
     /// The gang.
     pub token: FencingToken,
 }
 
-/// Asks for renewals.
+/// The body of a request to renew leases.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RenewRequest {
     /// The gangs.
@@ -288,23 +288,23 @@
     pub lease_ms: u64,
 }
 
-/// Asks for a lease with fewer devices.
+/// The body of a request to shrink a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShrinkRequest {
     /// The gang.
     pub token: FencingToken,
-    /// The devices that it keeps.
+    /// The devices that the lease keeps.
     pub keep: DeviceMask,
 }
 
-/// Asks that a task stops.
+/// The body of a request to stop a task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StopRequest {
     /// The gang.
     pub token: FencingToken,
     /// Whether a checkpoint is written first.
     pub checkpoint: bool,
-    /// The job that it gives way to.
+    /// The job for which the task is stopped.
     pub for_job: String,
 }
 
@@ -315,13 +315,13 @@
         Self { client: OnceClient::new(addr, 32) }
     }
 
-    async fn ask<T: DeserializeOwned>(
+    async fn call<T: DeserializeOwned>(
         &self,
         worker: &str,
-        what: &str,
+        operation: &str,
         body: &impl Serialize,
     ) -> Result<T, WorkerError> {
-        let path = format!("/workers/{worker}/{what}");
+        let path = format!("/workers/{worker}/{operation}");
         let answer =
             self.client.json(Method::POST, &path, to_json(body)).await.map_err(no_answer)?;
         answer.map_err(refusal)
@@ -346,7 +346,7 @@
     }
 
     async fn hold(&self, worker: &str, req: HoldRequest) -> Result<u64, WorkerError> {
-        self.ask(worker, "hold", &req).await
+        self.call(worker, "hold", &req).await
     }
 
     async fn commit(
@@ -355,11 +355,11 @@
         token: FencingToken,
         lease_ms: u64,
     ) -> Result<(), WorkerError> {
-        self.ask(worker, "commit", &CommitRequest { token, lease_ms }).await
+        self.call(worker, "commit", &CommitRequest { token, lease_ms }).await
     }
 
     async fn open(&self, worker: &str, token: FencingToken) -> Result<(), WorkerError> {
-        self.ask(worker, "open", &TokenRequest { token }).await
+        self.call(worker, "open", &TokenRequest { token }).await
     }
 
     async fn renew(
@@ -368,11 +368,11 @@
         tokens: &[FencingToken],
         lease_ms: u64,
     ) -> Result<Vec<LostLease>, WorkerError> {
-        self.ask(worker, "renew", &RenewRequest { tokens: tokens.to_vec(), lease_ms }).await
+        self.call(worker, "renew", &RenewRequest { tokens: tokens.to_vec(), lease_ms }).await
     }
 
     async fn release(&self, worker: &str, token: FencingToken) -> Result<(), WorkerError> {
-        self.ask(worker, "release", &TokenRequest { token }).await
+        self.call(worker, "release", &TokenRequest { token }).await
     }
 
     async fn shrink(
@@ -381,7 +381,7 @@
         token: FencingToken,
         keep: DeviceMask,
     ) -> Result<(), WorkerError> {
-        self.ask(worker, "shrink", &ShrinkRequest { token, keep }).await
+        self.call(worker, "shrink", &ShrinkRequest { token, keep }).await
     }
 
     async fn stop(
@@ -392,7 +392,7 @@
         for_job: &str,
     ) -> Result<(), WorkerError> {
         let req = StopRequest { token, checkpoint, for_job: for_job.to_owned() };
-        self.ask(worker, "stop", &req).await
+        self.call(worker, "stop", &req).await
     }
 }
 
--- a/crates/rampbay-platform/src/lib.rs
+++ b/crates/rampbay-platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! The borders to what the platform gives: its log, its list of boxes, its workers, and upstreams.
+//! Interfaces to the platform's services: its log, its list of boxes, its workers, and upstreams.
 //!
-//! Each border is one small object-safe trait, so that the processes run on the platform's
-//! interfaces, on stand-ins over HTTP, or on fakes in memory. [`http`] has the clients.
+//! Each interface is one small object-safe trait, so that the processes run against the platform
+//! itself, against stand-ins over HTTP, or against fakes in memory. [`http`] has the clients.
 //!
 //! ```
 //! use rampbay_platform::{http::HttpLog, log::Log};
--- a/crates/rampbay-platform/src/log.rs
+++ b/crates/rampbay-platform/src/log.rs
@@ -25,7 +25,7 @@
     pub data: Vec<u8>,
 }
 
-/// A stretch of a stream.
+/// A range of records of a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LogPage {
     /// The oldest offset that is kept.
@@ -36,7 +36,7 @@
     pub records: Vec<LogRecord>,
 }
 
-/// The log. Streams are named and have offsets of their own.
+/// The log. Each named stream has its own offsets.
 #[async_trait]
 pub trait Log: Send + Sync {
     /// Appends a record and returns its offset.
--- a/crates/rampbay-platform/src/upstream.rs
+++ b/crates/rampbay-platform/src/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream, as the process beside it sees it.
+//! The interface through which a side process calls its upstream.
 
 use std::time::Duration;
 
@@ -18,9 +18,9 @@
     pub workspace: WorkspaceId,
     /// The caller's opaque body.
     pub body: Bytes,
-    /// Time that the caller still waits.
+    /// How much longer the caller waits for the answer.
     pub timeout: Duration,
-    /// The largest answer that is taken, in bytes.
+    /// The largest answer that is accepted, in bytes.
     pub max_answer: usize,
 }
 
@@ -56,7 +56,7 @@
 /// An upstream.
 #[async_trait]
 pub trait Upstream: Send + Sync {
-    /// Sends one request, exactly once, and waits for the whole answer.
+    /// Sends one request, without retries, and waits for the whole answer.
     ///
     /// # Errors
     ///
--- a/crates/rampbay-platform/src/workers.rs
+++ b/crates/rampbay-platform/src/workers.rs
@@ -9,13 +9,13 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// How far a lease has come.
+/// The state of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LeaseState {
-    /// Devices are kept for a short time; nothing runs.
+    /// The devices are reserved for a short time; nothing runs.
     Held,
-    /// The part is committed; its task waits for the gate.
+    /// The part is committed; its task waits for its gate to be opened ([`Workers::open`]).
     Committed,
     /// The gate is open; the task runs.
     Running,
@@ -24,18 +24,18 @@
 /// One lease on one worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// What it is for.
+    /// What the lease is for.
     pub meta: LeaseMeta,
     /// The devices.
     pub devices: DeviceMask,
-    /// How far it has come.
+    /// The lease's state.
     pub state: LeaseState,
 }
 
 /// One worker as it reports itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerReport {
-    /// What it has.
+    /// The worker's specification.
     pub spec: WorkerSpec,
     /// Counts up with every change; a hold names the version that it was planned on.
     pub version: u64,
@@ -46,7 +46,7 @@
 /// Workers that changed since a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct WorkersPage {
-    /// Pass this to see only later changes.
+    /// The revision to pass to the next [`Workers::list`] to get only later changes.
     pub revision: u64,
     /// Workers that changed.
     pub changed: Vec<WorkerReport>,
@@ -54,25 +54,26 @@
     pub gone: Vec<rampbay_core::ids::WorkerId>,
 }
 
-/// Why a lease ended, told to its holder at renewal.
+/// Why a lease ended, reported to its holder at renewal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "why")]
 pub enum LostLease {
-    /// It lapsed or was never there.
+    /// The lease expired or never existed.
     Lapsed {
         /// The gang.
         token: FencingToken,
     },
-    /// It gave all its devices on this worker back; the gang runs on with its other parts.
+    /// The lease was shrunk to no devices on this worker; the gang continues with its other
+    /// parts.
     Shrunk {
         /// The gang.
         token: FencingToken,
     },
-    /// It was stopped for another job.
+    /// The task was stopped for another job.
     Stopped {
         /// The gang.
         token: FencingToken,
-        /// The job that it gave way to.
+        /// The job for which the task was stopped.
         for_job: JobId,
         /// Whether its work was checkpointed.
         checkpointed: bool,
@@ -95,16 +96,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "error")]
 pub enum WorkerError {
-    /// The worker changed since the version named.
+    /// The worker changed since the version that the hold names.
     #[error("worker is at version {version}")]
     Version {
-        /// Its version now.
+        /// The worker's current version.
         version: u64,
     },
     /// A device is held by another gang, or doesn't exist.
     #[error("a device is taken")]
     Taken,
-    /// A later token was granted a device already.
+    /// One of the devices was already granted to a later token.
     #[error("token is fenced off")]
     Fenced,
     /// There is no such lease.
@@ -124,13 +125,13 @@
 /// A hold of devices for a gang.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldRequest {
-    /// The version that the hold was planned on; absent takes any.
+    /// The worker's version that the hold was planned on; `None` accepts any version.
     pub version: Option<u64>,
     /// The devices.
     pub devices: DeviceMask,
-    /// What for, with the fencing token.
+    /// What the devices are held for, with the fencing token.
     pub meta: LeaseMeta,
-    /// Time after which the hold ends by itself, in milliseconds.
+    /// Time after which the hold expires, in milliseconds.
     pub ttl_ms: u64,
 }
 
@@ -141,7 +142,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if they can't be asked now.
+    /// Returns an error if the workers can't be reached now.
     async fn list(&self, since: u64) -> Result<WorkersPage, WorkerError>;
 
     /// Holds devices; returns the worker's new version.
@@ -163,7 +164,7 @@
         lease_ms: u64,
     ) -> Result<(), WorkerError>;
 
-    /// Opens the gate of a committed part: its task may run.
+    /// Opens the gate of a committed part, so that its task may run.
     ///
     /// # Errors
     ///
@@ -174,7 +175,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the worker can't be asked.
+    /// Returns an error if the worker can't be reached.
     async fn renew(
         &self,
         worker: &str,
@@ -182,14 +183,14 @@
         lease_ms: u64,
     ) -> Result<Vec<LostLease>, WorkerError>;
 
-    /// Releases a hold or a lease; one that isn't there is released already.
+    /// Releases a hold or a lease; succeeds also if there is none.
     ///
     /// # Errors
     ///
-    /// Returns an error if the worker can't be asked.
+    /// Returns an error if the worker can't be reached.
     async fn release(&self, worker: &str, token: FencingToken) -> Result<(), WorkerError>;
 
-    /// Leaves a lease only the devices in `keep`.
+    /// Shrinks a lease to those of its devices that are in `keep`.
     ///
     /// # Errors
     ///
@@ -205,7 +206,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the worker can't be asked.
+    /// Returns an error if the worker can't be reached.
     async fn stop(
         &self,
         worker: &str,
--- a/crates/rampbay-wire/src/clock.rs
+++ b/crates/rampbay-wire/src/clock.rs
@@ -6,12 +6,12 @@
 use serde::{Deserialize, Serialize};
 use uhlc::{HLC, HLCBuilder, ID, NTP64, Timestamp};
 
-/// A time that is close to the wall clock and never contradicts the order of messages.
+/// A timestamp that is close to the wall clock and consistent with the order of messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stamp {
     /// Seconds since the epoch, in units of 2^-32 s.
     pub time: u64,
-    /// Tells stamps of the same time apart: the incarnation of the process.
+    /// The incarnation of the process that issued the stamp; orders stamps of the same time.
     pub process: Incarnation,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// One process's clock.
+/// The hybrid logical clock of one process.
 pub struct Clock {
     hlc: HLC,
     process: Incarnation,
@@ -35,7 +35,7 @@
     }
 }
 
-/// A message from further in the future than this doesn't move the clock.
+/// A stamp that is further ahead of the wall clock than this is rejected.
 const MAX_AHEAD: Duration = Duration::from_millis(500);
 
 impl Clock {
@@ -51,13 +51,15 @@
         Self { hlc, process }
     }
 
-    /// Returns a stamp later than all that were given or seen.
+    /// Returns a stamp later than all stamps that this clock has issued or observed.
     #[must_use]
     pub fn stamp(&self) -> Stamp {
         Stamp { time: self.hlc.new_timestamp().get_time().0, process: self.process }
     }
 
-    /// Takes in a stamp from a message; returns whether it was plausible.
+    /// Advances the clock past the stamp of a received message.
+    ///
+    /// Returns whether the stamp was accepted; one too far ahead leaves the clock as it is.
     pub fn observe(&self, stamp: Stamp) -> bool {
         let Ok(id) = ID::try_from(u128::from(stamp.process.max(1)).to_le_bytes()) else {
             return false;
--- a/crates/rampbay-wire/src/envelope.rs
+++ b/crates/rampbay-wire/src/envelope.rs
@@ -1,4 +1,4 @@
-//! What travels between processes, and how it is written as bytes.
+//! The messages between processes and their binary encoding.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 /// Bytes of the digest before each message.
 const DIGEST_BYTES: usize = 8;
 
-/// A message with who sent it.
+/// A message with its sender.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sending process.
@@ -23,16 +23,17 @@
     pub incarnation: Incarnation,
     /// The address of its mailbox.
     pub reply_to: SocketAddr,
-    /// Its clock.
+    /// The time of sending, by the sender's clock.
     pub stamp: Stamp,
     /// The message.
     pub message: Message,
 }
 
-/// The messages.
+/// The messages between processes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// An entry tells a side process or another entry that it is there and wants to hear from it.
+    /// An entry announces itself to a side process, which answers with its load, or to another
+    /// entry.
     Hello,
     /// A side process's load.
     Load(Load),
@@ -58,7 +59,7 @@
 }
 
 impl Message {
-    /// Returns the message's kind in a word, for counts.
+    /// Returns the name of the message's kind, for counters.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
@@ -76,7 +77,7 @@
     }
 }
 
-/// Why bytes aren't a message.
+/// Why a message can't be encoded or decoded.
 #[derive(Debug, Error)]
 pub enum EnvelopeError {
     /// More bytes than are allowed, or fewer than a digest.
@@ -85,7 +86,7 @@
     /// The digest doesn't match: the message was cut or changed.
     #[error("message digest doesn't match")]
     Digest,
-    /// The bytes aren't a known message.
+    /// The message can't be encoded, or the bytes aren't a known message.
     #[error("message can't be decoded: {0}")]
     Decode(#[from] postcard::Error),
 }
@@ -108,7 +109,8 @@
     ///
     /// # Errors
     ///
-    /// Returns why the bytes must be dropped.
+    /// Returns an error if the length is out of bounds, the digest doesn't match, or the message
+    /// can't be decoded.
     pub fn decode(bytes: &[u8]) -> Result<Self, EnvelopeError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(EnvelopeError::Length(bytes.len()));
--- a/crates/rampbay-wire/src/event.rs
+++ b/crates/rampbay-wire/src/event.rs
@@ -9,7 +9,7 @@
 
 macro_rules! codes {
     ($($(#[doc = $doc:literal])+ $name:ident = $number:literal, $text:literal;)+) => {
-        /// The numbered events. `docs/EVENTS.md` lists them; a test holds the two together.
+        /// The numbered events. `docs/EVENTS.md` lists them; a test compares the two lists.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[repr(u16)]
         pub enum Code {
@@ -38,7 +38,7 @@
     ProcessDraining = 101, "process drains";
     /// A process has ended its last work.
     ProcessDrained = 102, "process drained";
-    /// A request was taken in.
+    /// A request was received.
     JobReceived = 200, "job received";
     /// A request was refused; nothing of it ran.
     JobRefused = 201, "job refused";
@@ -52,11 +52,11 @@
     GangRefused = 213, "gang start refused";
     /// A gang's devices were released.
     GangReleased = 214, "gang released";
-    /// A gang was lost with a worker or a lapsed lease.
+    /// A gang was lost with a worker or an expired lease.
     GangLost = 215, "gang lost";
-    /// A gang is asked to give way.
+    /// A gang was asked to shrink, checkpoint or stop for another job.
     GangYields = 216, "gang asked to give way";
-    /// A gang gave devices back and runs on.
+    /// A gang released some of its devices and continues to run.
     GangShrunk = 217, "gang shrunk";
     /// An orphaned gang was stopped.
     OrphanStopped = 218, "orphaned gang stopped";
@@ -70,7 +70,7 @@
     AttemptCancelled = 223, "attempt cancelled";
     /// An upstream failed so often that it gets no work for a while.
     UpstreamEjected = 230, "upstream ejected";
-    /// A request got its outcome.
+    /// A request reached its final outcome.
     JobSettled = 240, "job settled";
     /// Work that must run at most once was claimed in the log.
     ClaimMade = 250, "claim made";
@@ -94,7 +94,7 @@
     WorkersDown = 320, "workers unreachable";
     /// The workers can be reached again.
     WorkersUp = 321, "workers reachable again";
-    /// A guarantee can't be met by what the fleet has left.
+    /// The devices that the fleet has left can't meet a guarantee.
     GuaranteeShort = 330, "guarantees short of devices";
     /// A message was dropped because it could not be read.
     MessageUnreadable = 400, "message unreadable";
@@ -103,21 +103,23 @@
 /// One event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// When, in the order of all processes.
+    /// When the event happened; orders events across all processes.
     pub stamp: Stamp,
-    /// The process that it happened in.
+    /// The process in which the event happened.
     pub process: ProcessId,
     /// What happened.
     pub code: Code,
-    /// The job that it is about, if one.
+    /// The job concerned, if any.
     pub job: Option<JobId>,
-    /// The workspace that it is about, if one.
+    /// The workspace concerned, if any.
     pub workspace: Option<WorkspaceId>,
-    /// What else is to be said.
+    /// Further details, as text.
     pub detail: String,
 }
 
-/// A bounded record of events, in order of their stamps as far as they have arrived.
+/// A bounded buffer of events of this process and of others, in order of arrival.
+///
+/// [`Timeline::select`] returns events in order of their stamps.
 #[derive(Debug)]
 pub struct Timeline {
     process: ProcessId,
@@ -132,11 +134,11 @@
     dropped: u64,
 }
 
-/// Events that wait to be sent on at most.
+/// The most events that wait to be forwarded to another process; later ones aren't forwarded.
 const MAX_UNSENT: usize = 2_048;
 
 impl Timeline {
-    /// Creates a record that keeps the last `capacity` events.
+    /// Creates a buffer that keeps the last `capacity` events.
     #[must_use]
     pub fn new(process: impl Into<ProcessId>, capacity: usize) -> Self {
         Self { process: process.into(), events: Mutex::new(Inner::default()), capacity }
@@ -168,7 +170,7 @@
         self.push(&mut inner, event);
     }
 
-    /// Takes in events of another process.
+    /// Adds events received from another process.
     pub fn merge(&self, events: Vec<Event>) {
         let mut inner = self.lock();
         for event in events {
@@ -176,14 +178,14 @@
         }
     }
 
-    /// Takes out the events that have not been sent on, at most `count`.
+    /// Removes and returns at most `count` of the events that wait to be forwarded.
     pub fn take_unsent(&self, count: usize) -> Vec<Event> {
         let mut inner = self.lock();
         let count = count.min(inner.unsent.len());
         inner.unsent.drain(..count).collect()
     }
 
-    /// Returns the events that a filter lets through, in order.
+    /// Returns the events that match a filter, in order of their stamps.
     pub fn select(&self, filter: impl Fn(&Event) -> bool) -> Vec<Event> {
         let inner = self.lock();
         let mut events: Vec<Event> = inner.events.iter().filter(|e| filter(e)).cloned().collect();
@@ -191,7 +193,7 @@
         events
     }
 
-    /// Returns how many events were not sent on for want of room.
+    /// Returns how many events weren't forwarded because too many were waiting.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.lock().dropped
--- a/crates/rampbay-wire/src/mailbox.rs
+++ b/crates/rampbay-wire/src/mailbox.rs
@@ -1,4 +1,4 @@
-//! The mailbox of a process: nng pipelines in and out.
+//! The mailbox and the outbox of a process, over nng pipelines.
 
 use std::{
     collections::HashMap,
@@ -21,20 +21,21 @@
     envelope::{Envelope, Message},
 };
 
-/// Messages that wait for one peer at most; beyond that they are dropped and counted.
+/// The most messages that are queued for one peer; further ones are dropped and counted.
 const PEER_QUEUE: usize = 4_096;
-/// Messages that wait to be handled at most; beyond that the link pushes back.
+/// The most received messages that are queued; when the queue is full, the mailbox stops reading
+/// from its socket.
 const INBOX_QUEUE: usize = 8_192;
-/// Longest wait for a peer that takes no message.
+/// Longest time to push one message to a peer; after that the message is dropped.
 const PUSH_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause after a peer refused the connection.
+/// Pause after a failed connection to a peer.
 const REDIAL_PAUSE: Duration = Duration::from_millis(100);
 
-/// Counts of the link, for metrics and for the capacity page.
+/// Counts of a process's messages, for metrics and for the capacity page.
 #[derive(Debug, Default)]
 pub struct LinkCounts {
     sent: Mutex<HashMap<&'static str, (u64, u64)>>,
-    /// Messages dropped because a peer took none.
+    /// Messages dropped because a peer was unreachable or accepted none.
     pub dropped: AtomicU64,
     /// Messages that could not be read.
     pub unreadable: AtomicU64,
@@ -147,7 +148,8 @@
 
     /// Sends a message to the mailbox at `to`, at most once.
     ///
-    /// It is dropped and counted if the peer takes no messages.
+    /// The message is dropped and counted if the peer's queue is full, or if the peer is
+    /// unreachable or accepts no message.
     pub fn send(&self, to: SocketAddr, message: Message) {
         let kind = message.kind();
         let envelope = Envelope {
@@ -198,8 +200,8 @@
             Ok(socket) => break socket,
             Err(_) if rx.is_closed() => return,
             Err(_) => {
-                // What waited for a peer that isn't there is dropped: its sender will try again
-                // if it still wants it.
+                // Messages queued for an unreachable peer are dropped: the sender sends them
+                // again if they are still needed.
                 while rx.try_recv().is_ok() {
                     counts.dropped.fetch_add(1, Ordering::Relaxed);
                 }
