--- a/crates/rampbay-standin/src/boxes.rs
+++ b/crates/rampbay-standin/src/boxes.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's list of boxes, with its lag.
+//! A stand-in for the platform's list of boxes, including the list's lag.
 
 use std::{
     collections::VecDeque,
@@ -11,12 +11,12 @@
 
 use crate::faults::{Faults, lock};
 
-/// The list in memory.
+/// The list of boxes in memory.
 #[derive(Debug)]
 pub struct BoxesModel {
     versions: Mutex<VecDeque<(Instant, Vec<BoxRow>)>>,
     lag: Duration,
-    /// Its faults.
+    /// Faults of the list.
     pub faults: Faults,
 }
 
@@ -44,7 +44,7 @@
     }
 
     /// Marks a box as leaving.
-    pub fn leave(&self, id: &str) {
+    pub fn mark_leaving(&self, id: &str) {
         self.edit(|rows| {
             for row in rows.iter_mut().filter(|row| &*row.id == id) {
                 row.leaving = true;
@@ -52,7 +52,7 @@
         });
     }
 
-    /// Takes a box off the list.
+    /// Removes a box from the list.
     pub fn remove(&self, id: &str) {
         self.edit(|rows| rows.retain(|row| &*row.id != id));
     }
--- a/crates/rampbay-standin/src/faults.rs
+++ b/crates/rampbay-standin/src/faults.rs
@@ -13,15 +13,15 @@
 pub struct FaultSet {
     /// Every call is refused with no effect.
     pub down: bool,
-    /// Every answer comes later by this many milliseconds.
+    /// Delay of every answer, in milliseconds.
     pub delay_ms: u64,
-    /// This share of writes takes effect but its answer is lost, in percent.
+    /// Share of writes that take effect but whose answer is lost, in percent.
     pub lose_answer_percent: u8,
-    /// This share of calls ends with a server error after it has run, in percent.
+    /// Share of calls that end with a server error after they have run, in percent.
     pub fail_percent: u8,
-    /// This share of answers is cut short, in percent.
+    /// Share of answers that are cut short, in percent.
     pub cut_percent: u8,
-    /// Stops of tasks are acknowledged and not carried out.
+    /// Stops of tasks are acknowledged but not carried out.
     pub ignore_stop: bool,
 }
 
@@ -29,7 +29,7 @@
 #[derive(Debug, Default)]
 pub struct Faults {
     set: Mutex<FaultSet>,
-    draws: Mutex<u64>,
+    rng_state: Mutex<u64>,
 }
 
 impl Faults {
@@ -44,15 +44,15 @@
         *lock(&self.set) = set;
     }
 
-    /// Decides whether a fault that hits a share of calls hits this one.
+    /// Decides whether a fault that affects a share of calls affects this one.
     ///
-    /// The draws follow a fixed sequence, so that a run can be repeated.
+    /// The decisions follow a fixed pseudorandom sequence, so that a run can be repeated.
     #[must_use]
     pub fn hits(&self, percent: u8) -> bool {
         if percent == 0 {
             return false;
         }
-        let mut state = lock(&self.draws);
+        let mut state = lock(&self.rng_state);
         *state = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = *state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -60,7 +60,7 @@
         (mixed ^ (mixed >> 31)) % 100 < u64::from(percent)
     }
 
-    /// Waits as long as answers are delayed.
+    /// Waits for the configured delay of answers.
     pub async fn pause(&self) {
         let delay = self.get().delay_ms;
         if delay > 0 {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Locks, whatever became of an earlier holder.
+/// Locks a mutex, also after a holder panicked.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/rampbay-standin/src/http.rs
+++ b/crates/rampbay-standin/src/http.rs
@@ -27,7 +27,7 @@
 
 /// The largest body that the stand-ins read, in bytes.
 const MAX_BODY: usize = 64 * 1024 * 1024;
-/// Records in one page of the log unless asked for otherwise.
+/// Records in one page of the log unless the request sets `max`.
 const DEFAULT_PAGE: usize = 1_000;
 
 /// The platform's stand-ins.
@@ -171,9 +171,9 @@
 }
 
 async fn worker_call(platform: &Platform, req: &mut Request, res: &mut Response) {
-    let (id, what) = (param(req, "id"), param(req, "call"));
+    let (id, call) = (param(req, "id"), param(req, "call"));
     let workers = &platform.workers;
-    match what.as_str() {
+    match call.as_str() {
         "hold" => {
             let Some(hold) = body::<HoldRequest>(req, res).await else {
                 return;
@@ -285,7 +285,7 @@
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
             refuse(res, status, "failed");
         }
-        // A length that the body doesn't keep makes the server break the connection off.
+        // A content length larger than the body makes the server break the connection off.
         Err(_) => {
             res.status_code(StatusCode::OK);
             let _ = res.add_header("content-length", "1000000", true);
--- a/crates/rampbay-standin/src/lib.rs
+++ b/crates/rampbay-standin/src/lib.rs
@@ -1,8 +1,9 @@
-//! Small stand-ins for what the platform gives, for trials and tests.
+//! Small stand-ins for the platform's services and for upstreams, for trials and tests.
 //!
-//! Each stand-in is a model in memory, which also is the border's trait, and routes that serve it
-//! over HTTP. Faults are switched on through [`faults::Faults`] or over HTTP. The models keep
-//! records of their own, so that tests are judged by them and not by what rampbay says.
+//! Each stand-in consists of a model in memory, which implements the interface's trait, and of
+//! routes that serve the model over HTTP. Faults are switched on through [`faults::Faults`] or over
+//! HTTP. The models keep their own records, so that tests check against these records and not
+//! against what rampbay reports.
 
 pub mod boxes;
 pub mod faults;
--- a/crates/rampbay-standin/src/log.rs
+++ b/crates/rampbay-standin/src/log.rs
@@ -10,7 +10,7 @@
 
 use crate::faults::{Faults, lock};
 
-/// Records that are kept of each stream unless said otherwise.
+/// Records that are kept of each stream by default.
 pub const DEFAULT_RETENTION: usize = 100_000;
 
 #[derive(Debug, Default)]
@@ -24,7 +24,7 @@
 pub struct LogModel {
     streams: Mutex<HashMap<String, Stream>>,
     retention: usize,
-    /// Its faults.
+    /// Faults of the log.
     pub faults: Faults,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns every record that is kept of a stream, for judging.
+    /// Returns every record that is kept of a stream, for checks.
     #[must_use]
     pub fn kept(&self, stream: &str) -> Vec<Vec<u8>> {
         let streams = lock(&self.streams);
--- a/crates/rampbay-standin/src/settings.rs
+++ b/crates/rampbay-standin/src/settings.rs
@@ -1,8 +1,8 @@
-//! Sizes of the two users, for trials.
+//! Sites of the two users' sizes, for trials.
 
 use rampbay_core::{ids::WorkspaceId, knobs::Knobs, topology::WorkerSpec};
 
-/// What a trial is made of.
+/// The sizes and the names of one user's site.
 #[derive(Debug, Clone)]
 pub struct Site {
     /// The user's name.
--- a/crates/rampbay-standin/src/upstream.rs
+++ b/crates/rampbay-standin/src/upstream.rs
@@ -1,4 +1,5 @@
-//! A stand-in for an upstream: it works for a while and answers with what it was sent.
+//! A stand-in for an upstream: it waits for the time that a request asks for and derives the answer
+//! from the request's job and body.
 
 use std::{collections::HashMap, sync::Mutex, time::Duration};
 
@@ -9,7 +10,7 @@
 
 use crate::faults::{Faults, lock};
 
-/// What the upstream saw; tests are judged by it.
+/// What the upstream observed; tests check against these counts.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct UpstreamRecord {
     /// How often each job was started.
@@ -26,14 +27,14 @@
 #[derive(Debug, Default)]
 pub struct UpstreamModel {
     record: Mutex<UpstreamRecord>,
-    /// Its faults.
+    /// Faults of the upstream.
     pub faults: Faults,
 }
 
-/// A body that starts so says how many milliseconds the work takes.
+/// Prefix of a body that sets the time of the work: the milliseconds follow as digits.
 pub const WORK_PREFIX: &str = "work_ms=";
 
-/// Returns the time that a body asks for.
+/// Returns the time of the work that a body asks for; zero without [`WORK_PREFIX`].
 #[must_use]
 pub fn work_time(body: &[u8]) -> Duration {
     let text = body.strip_prefix(WORK_PREFIX.as_bytes()).unwrap_or_default();
@@ -52,23 +53,23 @@
 }
 
 impl UpstreamModel {
-    /// Returns what the upstream saw.
+    /// Returns what the upstream observed so far.
     #[must_use]
     pub fn record(&self) -> UpstreamRecord {
         lock(&self.record).clone()
     }
 
-    /// Works on a request as the faults allow.
+    /// Handles a request, subject to the faults that are on.
     ///
     /// # Errors
     ///
-    /// Returns the fault that hit it.
+    /// Returns the fault that affected the request.
     pub async fn work(&self, job: &str, body: &[u8]) -> Result<Bytes, UpstreamError> {
         let faults = self.faults.get();
         if faults.down {
             return Err(UpstreamError::Refused("down".into()));
         }
-        let _busy = Busy::start(&self.record, job);
+        let _in_progress = InProgress::start(&self.record, job);
         tokio::time::sleep(work_time(body)).await;
         self.faults.pause().await;
         *lock(&self.record).finishes.entry(job.to_owned()).or_default() += 1;
@@ -83,11 +84,11 @@
 }
 
 /// Counts a request as in progress until it is dropped.
-struct Busy<'a> {
+struct InProgress<'a> {
     record: &'a Mutex<UpstreamRecord>,
 }
 
-impl<'a> Busy<'a> {
+impl<'a> InProgress<'a> {
     fn start(record: &'a Mutex<UpstreamRecord>, job: &str) -> Self {
         let mut inner = lock(record);
         *inner.starts.entry(job.to_owned()).or_default() += 1;
@@ -97,7 +98,7 @@
     }
 }
 
-impl Drop for Busy<'_> {
+impl Drop for InProgress<'_> {
     fn drop(&mut self) {
         lock(self.record).busy -= 1;
     }
--- a/crates/rampbay-standin/src/workers.rs
+++ b/crates/rampbay-standin/src/workers.rs
@@ -20,16 +20,16 @@
 use crate::faults::{Faults, lock};
 
 /// Time in which a worker stops a task.
-const STOP: Duration = Duration::from_millis(300);
+const STOP_TIME: Duration = Duration::from_millis(300);
 /// Time in which a worker writes a checkpoint.
-const CHECKPOINT: Duration = Duration::from_millis(600);
+const CHECKPOINT_TIME: Duration = Duration::from_millis(600);
 
 #[derive(Debug, Clone)]
 struct LeaseRow {
     meta: LeaseMeta,
     devices: DeviceMask,
     state: LeaseState,
-    until: Duration,
+    expires_at: Duration,
     stopping: Option<Stopping>,
 }
 
@@ -52,20 +52,20 @@
     stopped: BTreeMap<FencingToken, LostLease>,
 }
 
-/// What the workers themselves saw; tests are judged by it.
+/// What the workers observed; tests check against these counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct WorkersRecord {
-    /// Gates opened.
+    /// Gates that were opened.
     pub opened: u64,
-    /// Gates opened while a part of the gang wasn't committed; must stay 0.
+    /// Gates that were opened while a part of the gang wasn't committed; must stay 0.
     pub opened_in_part: u64,
     /// Holds granted.
     pub held: u64,
     /// Holds refused.
     pub refused: u64,
-    /// Leases that lapsed while their task ran.
+    /// Leases that expired while their task ran.
     pub lapsed_running: u64,
-    /// Tasks stopped for an owner.
+    /// Tasks stopped for another job.
     pub stopped: u64,
 }
 
@@ -81,7 +81,7 @@
 pub struct WorkersModel {
     inner: Mutex<Inner>,
     started: Instant,
-    /// Their faults.
+    /// Faults of the workers.
     pub faults: Faults,
 }
 
@@ -92,7 +92,7 @@
 }
 
 impl WorkersModel {
-    /// Creates workers by their specifications.
+    /// Creates workers from their specifications.
     #[must_use]
     pub fn new(specs: Vec<WorkerSpec>) -> Self {
         let model = Self::default();
@@ -102,7 +102,7 @@
         model
     }
 
-    /// Adds a worker, or brings it back without leases.
+    /// Adds a worker, or replaces a known one by one without leases.
     pub fn add(&self, spec: WorkerSpec) {
         let mut inner = lock(&self.inner);
         inner.revision += 1;
@@ -120,7 +120,7 @@
         inner.rows.insert(row.spec.id.clone(), row);
     }
 
-    /// Takes a worker away with all its leases.
+    /// Removes a worker with all its leases.
     pub fn kill(&self, id: &str) {
         let mut inner = lock(&self.inner);
         inner.revision += 1;
@@ -132,24 +132,24 @@
         }
     }
 
-    /// Returns what the workers saw.
+    /// Returns what the workers observed so far.
     #[must_use]
     pub fn record(&self) -> WorkersRecord {
         lock(&self.inner).record
     }
 
-    /// Returns the number of devices that running leases have.
+    /// Returns the number of devices under running leases.
     #[must_use]
     pub fn devices_running(&self) -> u32 {
-        self.with(|inner| {
+        self.with_current(|inner| {
             let leases = inner.rows.values().flat_map(|row| row.leases.values());
             let running = leases.filter(|lease| lease.state == LeaseState::Running);
             running.map(|lease| lease.devices.count_ones()).sum()
         })
     }
 
-    /// Runs a function over the workers after what is due by now has happened.
-    fn with<T>(&self, run: impl FnOnce(&mut Inner) -> T) -> T {
+    /// Runs a function on the workers after every expiry and stop that is due was applied.
+    fn with_current<T>(&self, run: impl FnOnce(&mut Inner) -> T) -> T {
         let mut inner = lock(&self.inner);
         inner.advance(self.started.elapsed(), self.faults.get().ignore_stop);
         run(&mut inner)
@@ -161,7 +161,7 @@
         run: impl FnOnce(&mut WorkerRow, &mut WorkersRecord, Duration) -> Result<T, WorkerError>,
     ) -> Result<T, WorkerError> {
         let now = self.started.elapsed();
-        self.with(|inner| {
+        self.with_current(|inner| {
             let next = inner.revision + 1;
             let row =
                 inner.rows.get_mut(id).filter(|row| row.alive).ok_or(WorkerError::NoWorker)?;
@@ -175,7 +175,7 @@
         })
     }
 
-    async fn reach(&self) -> Result<(), WorkerError> {
+    async fn check_reachable(&self) -> Result<(), WorkerError> {
         self.faults.pause().await;
         if self.faults.get().down {
             return Err(WorkerError::NoAnswer { message: "down".into() });
@@ -184,7 +184,7 @@
     }
 
     /// Loses the answer of a call that took effect, if that fault is on.
-    fn answer<T>(&self, value: T) -> Result<T, WorkerError> {
+    fn deliver<T>(&self, value: T) -> Result<T, WorkerError> {
         if self.faults.hits(self.faults.get().lose_answer_percent) {
             return Err(WorkerError::NoAnswer { message: "answer lost".into() });
         }
@@ -193,7 +193,7 @@
 }
 
 impl Inner {
-    /// Lets holds and leases lapse, and ends tasks whose stop is due.
+    /// Ends holds and leases that have expired, and tasks whose stop is due.
     fn advance(&mut self, now: Duration, ignore_stop: bool) {
         for row in self.rows.values_mut() {
             let ended: Vec<FencingToken> = row
@@ -201,7 +201,7 @@
                 .iter()
                 .filter(|(_, lease)| {
                     let stops = lease.stopping.as_ref().is_some_and(|stop| stop.at <= now);
-                    lease.until <= now || (stops && !ignore_stop)
+                    lease.expires_at <= now || (stops && !ignore_stop)
                 })
                 .map(|(token, _)| *token)
                 .collect();
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Returns whether every device of a gang is committed or runs.
+    /// Returns whether every device of a gang is committed or in use by its running task.
     fn is_whole(&self, token: FencingToken) -> bool {
         let parts = self.rows.values().filter_map(|row| row.leases.get(&token));
         let ready = parts.filter(|lease| lease.state != LeaseState::Held);
@@ -242,7 +242,7 @@
 }
 
 impl WorkerRow {
-    fn taken(&self) -> DeviceMask {
+    fn leased_devices(&self) -> DeviceMask {
         self.leases.values().fold(0, |mask, lease| mask | lease.devices)
     }
 
@@ -254,7 +254,7 @@
         if req.version.is_some_and(|version| version != self.version) {
             return Err(WorkerError::Version { version: self.version });
         }
-        if req.devices & !self.spec.all_devices() != 0 || req.devices & self.taken() != 0 {
+        if req.devices & !self.spec.all_devices() != 0 || req.devices & self.leased_devices() != 0 {
             return Err(WorkerError::Taken);
         }
         let fenced = devices_in(req.devices)
@@ -279,8 +279,8 @@
 #[async_trait]
 impl Workers for WorkersModel {
     async fn list(&self, since: u64) -> Result<WorkersPage, WorkerError> {
-        self.reach().await?;
-        Ok(self.with(|inner| {
+        self.check_reachable().await?;
+        Ok(self.with_current(|inner| {
             let changed = inner.rows.values().filter(|row| row.revision > since);
             let (alive, dead): (Vec<_>, Vec<_>) = changed.partition(|row| row.alive);
             WorkersPage {
@@ -292,7 +292,7 @@
     }
 
     async fn hold(&self, worker: &str, req: HoldRequest) -> Result<u64, WorkerError> {
-        self.reach().await?;
+        self.check_reachable().await?;
         let version = self.on_worker(worker, |row, record, now| {
             if let Some(known) = row.leases.get(&req.meta.token)
                 && known.devices == req.devices
@@ -312,13 +312,13 @@
                 meta: req.meta.clone(),
                 devices: req.devices,
                 state: LeaseState::Held,
-                until: now + Duration::from_millis(req.ttl_ms),
+                expires_at: now + Duration::from_millis(req.ttl_ms),
                 stopping: None,
             };
             row.leases.insert(req.meta.token, lease);
             Ok(row.version)
         })?;
-        self.answer(version)
+        self.deliver(version)
     }
 
     async fn commit(
@@ -327,22 +327,22 @@
         token: FencingToken,
         lease_ms: u64,
     ) -> Result<(), WorkerError> {
-        self.reach().await?;
+        self.check_reachable().await?;
         self.on_worker(worker, |row, _, now| {
             let lease = row.lease(token)?;
-            lease.until = now + Duration::from_millis(lease_ms);
+            lease.expires_at = now + Duration::from_millis(lease_ms);
             if lease.state == LeaseState::Held {
                 lease.state = LeaseState::Committed;
                 row.version += 1;
             }
             Ok(())
         })?;
-        self.answer(())
+        self.deliver(())
     }
 
     async fn open(&self, worker: &str, token: FencingToken) -> Result<(), WorkerError> {
-        self.reach().await?;
-        self.with(|inner| {
+        self.check_reachable().await?;
+        self.with_current(|inner| {
             let whole = inner.is_whole(token);
             let row = inner.rows.get_mut(worker).ok_or(WorkerError::NoWorker)?;
             let lease = row.lease(token)?;
@@ -359,7 +359,7 @@
             }
             Ok(())
         })?;
-        self.answer(())
+        self.deliver(())
     }
 
     async fn renew(
@@ -368,12 +368,12 @@
         tokens: &[FencingToken],
         lease_ms: u64,
     ) -> Result<Vec<LostLease>, WorkerError> {
-        self.reach().await?;
+        self.check_reachable().await?;
         let lost = self.on_worker(worker, |row, _, now| {
             let mut lost = Vec::new();
             for token in tokens {
                 match row.leases.get_mut(token) {
-                    Some(lease) => lease.until = now + Duration::from_millis(lease_ms),
+                    Some(lease) => lease.expires_at = now + Duration::from_millis(lease_ms),
                     None => lost.push(
                         row.stopped
                             .get(token)
@@ -384,18 +384,18 @@
             }
             Ok(lost)
         })?;
-        self.answer(lost)
+        self.deliver(lost)
     }
 
     async fn release(&self, worker: &str, token: FencingToken) -> Result<(), WorkerError> {
-        self.reach().await?;
+        self.check_reachable().await?;
         self.on_worker(worker, |row, _, _| {
             if row.leases.remove(&token).is_some() {
                 row.version += 1;
             }
             Ok(())
         })?;
-        self.answer(())
+        self.deliver(())
     }
 
     async fn shrink(
@@ -404,7 +404,7 @@
         token: FencingToken,
         keep: DeviceMask,
     ) -> Result<(), WorkerError> {
-        self.reach().await?;
+        self.check_reachable().await?;
         self.on_worker(worker, |row, _, _| {
             let lease = row.lease(token)?;
             lease.devices &= keep;
@@ -415,7 +415,7 @@
             row.version += 1;
             Ok(())
         })?;
-        self.answer(())
+        self.deliver(())
     }
 
     async fn stop(
@@ -425,18 +425,18 @@
         checkpoint: bool,
         for_job: &str,
     ) -> Result<(), WorkerError> {
-        self.reach().await?;
+        self.check_reachable().await?;
         self.on_worker(worker, |row, _, now| {
             let Some(lease) = row.leases.get_mut(&token) else {
                 return Ok(());
             };
-            let takes = if checkpoint { CHECKPOINT + STOP } else { STOP };
+            let delay = if checkpoint { CHECKPOINT_TIME + STOP_TIME } else { STOP_TIME };
             if lease.stopping.is_none() {
                 let for_job = for_job.to_owned();
-                lease.stopping = Some(Stopping { at: now + takes, for_job, checkpoint });
+                lease.stopping = Some(Stopping { at: now + delay, for_job, checkpoint });
             }
             Ok(())
         })?;
-        self.answer(())
+        self.deliver(())
     }
 }
