--- a/crates/rampbay-load/src/main.rs
+++ b/crates/rampbay-load/src/main.rs
@@ -20,7 +20,7 @@
     /// requests in all (default 1000)
     #[argh(option, default = "1000")]
     count: u64,
-    /// longest time of the run in seconds (default 60)
+    /// longest duration of the run in seconds (default 60)
     #[argh(option, default = "60")]
     seconds: u64,
     /// workspace and its share, as NAME=SHARE; may be given several times
@@ -50,7 +50,7 @@
     /// seed of everything that is drawn (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// begins each id (default load)
+    /// prefix of each id (default load)
     #[argh(option, default = "String::from(\"load\")")]
     prefix: String,
     /// a caller's key
@@ -86,7 +86,7 @@
         direct: args.direct,
         rate: args.rate.max(0.01),
         count: args.count,
-        longest: Duration::from_secs(args.seconds),
+        max_duration: Duration::from_secs(args.seconds),
         workspaces: workspaces(&args.workspace),
         work: Duration::from_millis(args.work_ms),
         exponential: args.exponential,
--- a/crates/rampbay-load/src/report.rs
+++ b/crates/rampbay-load/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run of load found.
+//! The results of a load run.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -28,7 +28,7 @@
     pub sent: u64,
     /// Requests by outcome and reason.
     pub outcomes: BTreeMap<String, u64>,
-    /// Answers that weren't the whole answer to their own request; must be 0.
+    /// Answers that aren't the complete answer to their own request; must be 0.
     pub wrong_answers: u64,
     /// Ids of requests that were refused as not run.
     #[serde(skip)]
@@ -38,7 +38,7 @@
     pub answered: Vec<String>,
     /// Completion times by workspace and class.
     pub completion: BTreeMap<String, Quantiles>,
-    /// Completion times of all.
+    /// Completion times of all answered requests.
     pub all: Quantiles,
     /// Time from the first request until the last answer, in milliseconds.
     pub wall_ms: f64,
@@ -92,7 +92,7 @@
         self.outcomes.iter().filter(of).map(|(_, count)| count).sum()
     }
 
-    /// Writes the report for people.
+    /// Formats the report as a table and a summary line.
     #[must_use]
     pub fn to_text(&self) -> String {
         let mut table = Table::new();
--- a/crates/rampbay-load/src/run.rs
+++ b/crates/rampbay-load/src/run.rs
@@ -1,4 +1,4 @@
-//! Sending the load.
+//! Schedules the requests of a load run, sends them and checks the answers.
 
 use std::{
     net::SocketAddr,
@@ -17,30 +17,30 @@
 
 use crate::report::{Report, Times};
 
-/// What is sent.
+/// Parameters of a load run.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Entries, or upstreams if [`Plan::direct`] is set.
     pub targets: Vec<SocketAddr>,
-    /// Send straight to upstreams, to compare with.
+    /// Send straight to upstreams, as a baseline for comparison.
     pub direct: bool,
     /// Requests a second.
     pub rate: f64,
     /// Requests in all.
     pub count: u64,
-    /// Longest time of the whole run.
-    pub longest: Duration,
+    /// Requests due later than this aren't sent.
+    pub max_duration: Duration,
     /// Workspaces, each with its share of the requests.
     pub workspaces: Vec<(String, f64)>,
     /// Mean time of the work at the upstream.
     pub work: Duration,
     /// Whether the work's time is drawn from an exponential distribution.
     pub exponential: bool,
-    /// Bytes of each body at least.
+    /// Least size of each body, in bytes.
     pub body_bytes: usize,
     /// Share of requests that need a gang.
     pub gangs: f64,
-    /// Sizes of the gangs.
+    /// Sizes of the gangs, in devices; each gang takes one at random.
     pub gang_devices: Vec<u32>,
     /// Share of urgent requests.
     pub urgent: f64,
@@ -50,7 +50,7 @@
     pub deadline: Duration,
     /// Seed of everything that is drawn.
     pub seed: u64,
-    /// Begins each id, so that runs don't meet.
+    /// Prefix of each id, so that runs don't share ids.
     pub prefix: String,
     /// A caller's key.
     pub key: Option<String>,
@@ -63,7 +63,7 @@
             direct: false,
             rate: 100.0,
             count: 1_000,
-            longest: Duration::from_secs(60),
+            max_duration: Duration::from_secs(60),
             workspaces: vec![("default".to_owned(), 1.0)],
             work: Duration::from_millis(20),
             exponential: false,
@@ -80,9 +80,9 @@
     }
 }
 
-/// One request that is to be sent.
+/// One request and the time at which it is due.
 #[derive(Debug, Clone)]
-struct Shot {
+struct ScheduledRequest {
     at: Duration,
     spec: JobSpec,
     body: Bytes,
@@ -92,29 +92,29 @@
 /// Unused connections kept to one target.
 const MAX_IDLE: usize = 1_024;
 const MAX_ANSWER: usize = 64 * 1024 * 1024;
-/// Time after its deadline that an answer is still waited for.
-const GRACE: Duration = Duration::from_secs(10);
+/// How long after its deadline a request's answer is still awaited.
+const ANSWER_GRACE: Duration = Duration::from_secs(10);
 
-fn draw(plan: &Plan) -> Vec<Shot> {
+fn schedule(plan: &Plan) -> Vec<ScheduledRequest> {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let mut at = 0.0_f64;
     (0..plan.count)
         .map(|number| {
             let gap: f64 = rng.random();
             at += -(1.0 - gap).ln() / plan.rate;
-            shot(plan, number, Duration::from_secs_f64(at), &mut rng)
+            request(plan, number, Duration::from_secs_f64(at), &mut rng)
         })
         .collect()
 }
 
-/// Returns the ids of the plan's requests that must run at most once, with their workspaces.
+/// Returns the ids of the plan's requests that must run at most once, each as `workspace/id`.
 #[must_use]
-pub fn ids_to_run_once(plan: &Plan) -> Vec<String> {
-    let once = draw(plan).into_iter().filter(|shot| !shot.spec.repeatable);
-    once.map(|shot| format!("{}/{}", shot.spec.workspace, shot.spec.id)).collect()
+pub fn at_most_once_ids(plan: &Plan) -> Vec<String> {
+    let once = schedule(plan).into_iter().filter(|scheduled| !scheduled.spec.repeatable);
+    once.map(|scheduled| format!("{}/{}", scheduled.spec.workspace, scheduled.spec.id)).collect()
 }
 
-fn shot(plan: &Plan, number: u64, at: Duration, rng: &mut ChaCha8Rng) -> Shot {
+fn request(plan: &Plan, number: u64, at: Duration, rng: &mut ChaCha8Rng) -> ScheduledRequest {
     let total: f64 = plan.workspaces.iter().map(|(_, share)| share).sum();
     let mut pick = rng.random::<f64>() * total;
     let workspace = plan
@@ -148,20 +148,22 @@
         spec = spec.gang(GangSpec::new(devices));
     }
     let target = rng.random_range(0..plan.targets.len().max(1));
-    Shot { at, spec, body: body.into(), target }
+    ScheduledRequest { at, spec, body: body.into(), target }
 }
 
-struct Ended {
+struct RequestEnd {
     group: String,
     id: String,
     outcome: String,
-    whole: bool,
+    is_correct: bool,
     took: Duration,
 }
 
-/// Sends the load and returns what came of it. `progress` is told of each end.
+/// Sends the load and returns its results.
+///
+/// Calls `progress` after each request that ended, with the number of requests ended so far.
 pub async fn run(plan: &Plan, progress: impl Fn(u64)) -> Report {
-    let shots = draw(plan);
+    let requests = schedule(plan);
     let clients: Arc<Vec<OnceClient>> =
         Arc::new(plan.targets.iter().map(|addr| OnceClient::new(*addr, MAX_IDLE)).collect());
     let (tx, mut rx) = mpsc::unbounded_channel();
@@ -170,15 +172,15 @@
     let sender = {
         let (plan, clients) = (plan.clone(), clients.clone());
         async move {
-            for shot in shots {
-                if shot.at > plan.longest {
+            for scheduled in requests {
+                if scheduled.at > plan.max_duration {
                     break;
                 }
-                tokio::time::sleep_until((start + shot.at).into()).await;
+                tokio::time::sleep_until((start + scheduled.at).into()).await;
                 let (plan, clients, tx) = (plan.clone(), clients.clone(), tx.clone());
                 tasks.spawn(async move {
-                    let ended = send(&plan, &clients[shot.target], &shot, start).await;
-                    // The receiver waits until every sender is gone.
+                    let ended = send(&plan, &clients[scheduled.target], &scheduled, start).await;
+                    // Can't fail: the receiver is open until the last sender is dropped.
                     let _ = tx.send(ended);
                 });
             }
@@ -210,41 +212,48 @@
     tokio::join!(sender, collector).1
 }
 
-fn count(report: &mut Report, ended: &Ended) {
+fn count(report: &mut Report, ended: &RequestEnd) {
     *report.outcomes.entry(ended.outcome.clone()).or_default() += 1;
     if ended.outcome.starts_with("answered") {
         report.answered.push(ended.id.clone());
-        report.wrong_answers += u64::from(!ended.whole);
+        report.wrong_answers += u64::from(!ended.is_correct);
     }
     if ended.outcome.starts_with("not_run") {
         report.not_run.push(ended.id.clone());
     }
 }
 
-async fn send(plan: &Plan, client: &OnceClient, shot: &Shot, start: Instant) -> Ended {
-    let spec = &shot.spec;
-    let wait = plan.deadline + GRACE;
-    let inner = format!("{}/{}", spec.workspace, spec.id);
+async fn send(
+    plan: &Plan,
+    client: &OnceClient,
+    scheduled: &ScheduledRequest,
+    start: Instant,
+) -> RequestEnd {
+    let spec = &scheduled.spec;
+    let wait = plan.deadline + ANSWER_GRACE;
+    let job = format!("{}/{}", spec.workspace, spec.id);
     let result = if plan.direct {
-        let headers = [(JOB_HEADER, inner.as_str())];
-        client.call(Method::POST, "/work", &headers, shot.body.clone(), wait, MAX_ANSWER).await
+        let headers = [(JOB_HEADER, job.as_str())];
+        client.call(Method::POST, "/work", &headers, scheduled.body.clone(), wait, MAX_ANSWER).await
     } else {
         let head = serde_json::to_string(spec).unwrap_or_default();
         let bearer = plan.key.as_ref().map(|key| format!("Bearer {key}"));
         let mut headers = vec![("rampbay-job", head.as_str())];
         headers.extend(bearer.as_deref().map(|bearer| ("authorization", bearer)));
-        client.call(Method::POST, "/v1/jobs", &headers, shot.body.clone(), wait, MAX_ANSWER).await
+        client
+            .call(Method::POST, "/v1/jobs", &headers, scheduled.body.clone(), wait, MAX_ANSWER)
+            .await
     };
-    let took = start.elapsed().saturating_sub(shot.at);
-    let (outcome, whole) = judge(plan.direct, &inner, &shot.body, result);
+    let took = start.elapsed().saturating_sub(scheduled.at);
+    let (outcome, is_correct) = classify(plan.direct, &job, &scheduled.body, result);
     let class = serde_json::to_value(spec.class).ok();
     let class = class.as_ref().and_then(|class| class.as_str()).unwrap_or_default();
-    Ended { group: format!("{} {class}", spec.workspace), id: inner, outcome, whole, took }
+    RequestEnd { group: format!("{} {class}", spec.workspace), id: job, outcome, is_correct, took }
 }
 
-fn judge(
+fn classify(
     direct: bool,
-    inner: &str,
+    job: &str,
     body: &[u8],
     result: Result<HttpAnswer, CallError>,
 ) -> (String, bool) {
@@ -261,6 +270,6 @@
             _ => format!("refused {}", answer.status.as_u16()),
         }
     };
-    let whole = answer.body == answer_for(inner, body);
-    (outcome, whole)
+    let is_correct = answer.body == answer_for(job, body);
+    (outcome, is_correct)
 }
