--- a/crates/rampbay-demo/examples/drain.rs
+++ b/crates/rampbay-demo/examples/drain.rs
@@ -2,8 +2,8 @@
 //!
 //! `cargo run -p rampbay-demo --example drain`
 //!
-//! What to look for: every request is answered; after the drain began nothing new starts at the
-//! upstream that leaves.
+//! Expected output: every request is answered, and after the drain began no new request starts at
+//! the upstream that leaves.
 
 use std::time::Duration;
 
--- a/crates/rampbay-demo/src/main.rs
+++ b/crates/rampbay-demo/src/main.rs
@@ -1,4 +1,4 @@
-//! The demo: a site on loopback, load on it, and what the stand-ins saw.
+//! The demo: runs a site on loopback under load and checks the results against the stand-ins.
 
 use std::{process::ExitCode, time::Duration};
 
@@ -26,7 +26,8 @@
     /// requests a second (default 300)
     #[argh(option, default = "300.0")]
     rate: f64,
-    /// measure the path at 10, 50, 90 and 120 % of the slots against straight to the upstreams
+    /// compare requests through rampbay with requests straight to the upstreams, at 10, 50, 90 and
+    /// 120 % of the slots
     #[argh(switch)]
     measure: bool,
     /// level of the logs (default error)
@@ -34,8 +35,8 @@
     log_level: String,
 }
 
-/// Longest time of the load.
-const LONGEST: Duration = Duration::from_secs(40);
+/// Longest duration of the load.
+const MAX_DURATION: Duration = Duration::from_secs(40);
 const WORK: Duration = Duration::from_millis(50);
 
 #[tokio::main]
@@ -63,7 +64,7 @@
         targets: site.callers(),
         rate: args.rate,
         count: args.count,
-        longest: LONGEST,
+        max_duration: MAX_DURATION,
         workspaces: site.workspaces().iter().map(|(name, _)| (name.to_string(), 1.0)).collect(),
         work: WORK,
         exponential: true,
@@ -79,16 +80,16 @@
     let report = run(&plan, |sent| bar.set_position(sent)).await;
     bar.finish_and_clear();
     print!("{}", report.to_text());
-    fragmentation(&site).await;
-    Ok(prove(&site, &report))
+    print_free_devices(&site).await;
+    Ok(check_against_stand_ins(&site, &report))
 }
 
-/// Time of the work in measurements; a hundred times the path's own.
+/// Time of the work in measurements: a hundred times the time that the path itself takes.
 const MEASURED_WORK: Duration = Duration::from_millis(100);
-/// Seconds of each measured load.
+/// Duration of each measured load, in seconds.
 const MEASURED_SECONDS: f64 = 10.0;
 
-/// Compares the way through rampbay with the way straight to the upstreams.
+/// Compares requests through rampbay with requests straight to the upstreams.
 async fn measure(site: &RunningSite) -> bool {
     let capacity = f64::from(site.slots()) / MEASURED_WORK.as_secs_f64();
     let workspaces: Vec<(String, f64)> =
@@ -148,8 +149,8 @@
     good
 }
 
-/// Shows what the planner left free.
-async fn fragmentation(site: &RunningSite) {
+/// Prints the devices that the planner left free, and the guarantees that it can't meet.
+async fn print_free_devices(site: &RunningSite) {
     let Some(entry) = site.entries.iter().flatten().next() else {
         return;
     };
@@ -162,23 +163,23 @@
     }
 }
 
-/// Judges the run by the stand-ins' own records.
-fn prove(site: &RunningSite, report: &Report) -> bool {
+/// Checks the run against the stand-ins' own records.
+fn check_against_stand_ins(site: &RunningSite, report: &Report) -> bool {
     let starts = site.starts();
     let workers = site.platform.workers.record();
     let ran_though_refused = report.not_run.iter().filter(|id| starts.contains_key(*id)).count();
     let lost = report.answered.iter().filter(|id| !starts.contains_key(*id)).count();
     let most_busy = site.upstreams.iter().map(|u| u.model.record().most_busy).max().unwrap_or(0);
     let checks = [
-        ("answers that weren't whole or not their own", report.wrong_answers, 0),
+        ("answers incomplete or of another request", report.wrong_answers, 0),
         ("requests without an answer", report.outcome("no_answer"), 0),
         ("refused as not run, but started", ran_though_refused as u64, 0),
         ("answered, but never started", lost as u64, 0),
-        ("gates opened with a gang in part", workers.opened_in_part, 0),
+        ("gates opened before the whole gang was committed", workers.opened_in_part, 0),
         ("most requests at once at one upstream", most_busy.into(), 8),
     ];
     let mut table = Table::new();
-    table.set_header(["judged by the stand-ins", "seen", "allowed"]);
+    table.set_header(["checked by the stand-ins' records", "seen", "allowed"]);
     let mut good = true;
     for (what, seen, allowed) in checks {
         good &= seen <= allowed;
--- a/crates/rampbay-demo/src/site.rs
+++ b/crates/rampbay-demo/src/site.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping the processes of a site.
+//! Starts and stops the processes of a site.
 
 use std::{
     collections::HashMap,
@@ -32,10 +32,10 @@
 };
 use rampbay_table::record::{Edit, Record};
 
-/// What is started.
+/// Options of a site.
 #[derive(Debug, Clone)]
 pub struct SiteOptions {
-    /// Whose sizes.
+    /// The user's site whose sizes are taken.
     pub site: Site,
     /// Number of entries.
     pub entries: usize,
@@ -48,7 +48,7 @@
 }
 
 impl SiteOptions {
-    /// Returns a site of today's size with three entries.
+    /// Returns the default sizes with three entries.
     #[must_use]
     pub fn new(site: Site) -> Self {
         Self {
@@ -143,31 +143,31 @@
     pub model: Arc<UpstreamModel>,
     /// Where the stand-in listens.
     pub addr: SocketAddr,
-    /// The side process; absent while it is down.
+    /// The side process; `None` while it is down.
     pub side: Option<Side>,
-    _serving: HttpServer,
+    _server: HttpServer,
 }
 
 /// A running site.
 pub struct RunningSite {
     /// The platform's stand-ins.
     pub platform: Platform,
-    /// Where they listen.
+    /// Where the platform's stand-ins listen.
     pub platform_addr: SocketAddr,
     /// The upstreams.
     pub upstreams: Vec<Upstream>,
-    /// The entries; one is absent while it is down.
+    /// The entries; `None` for one that is down.
     pub entries: Vec<Option<Entry>>,
     options: SiteOptions,
-    _platform_serving: HttpServer,
+    _platform_server: HttpServer,
 }
 
 const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-const READY_WITHIN: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl RunningSite {
-    /// Starts a site and waits until its entries take requests.
+    /// Starts a site and waits until its entries accept requests.
     ///
     /// # Errors
     ///
@@ -178,14 +178,14 @@
             boxes: Arc::new(BoxesModel::new(options.lag)),
             workers: Arc::new(WorkersModel::new(options.site.workers())),
         };
-        let serving = serve_platform(ANY_PORT, platform.clone()).await?;
+        let server = serve_platform(ANY_PORT, platform.clone()).await?;
         let mut site = Self {
-            platform_addr: serving.addr(),
+            platform_addr: server.addr(),
             platform,
             upstreams: Vec::new(),
             entries: Vec::new(),
             options,
-            _platform_serving: serving,
+            _platform_server: server,
         };
         site.publish_table().await?;
         for at in 0..site.options.upstreams {
@@ -210,9 +210,9 @@
 
     async fn add_upstream(&mut self, at: usize) -> Result<(), SiteError> {
         let model = Arc::new(UpstreamModel::default());
-        let serving = serve_upstream(ANY_PORT, model.clone()).await?;
+        let server = serve_upstream(ANY_PORT, model.clone()).await?;
         let id = format!("upstream-{at}");
-        let upstream = Upstream { id, model, addr: serving.addr(), side: None, _serving: serving };
+        let upstream = Upstream { id, model, addr: server.addr(), side: None, _server: server };
         self.upstreams.push(upstream);
         self.start_side(at).await
     }
@@ -239,7 +239,7 @@
         Ok(())
     }
 
-    /// Kills the side process of an upstream; the platform's list notices late.
+    /// Kills the side process of an upstream; the platform's list shows it until the lag is over.
     pub fn kill_side(&mut self, at: usize) {
         let upstream = &mut self.upstreams[at];
         if let Some(side) = upstream.side.take() {
@@ -269,7 +269,7 @@
         Ok(())
     }
 
-    /// Kills an entry; the platform's list notices late.
+    /// Kills an entry; the platform's list shows it until the lag is over.
     pub fn kill_entry(&mut self, at: usize) {
         if let Some(entry) = self.entries[at].take() {
             self.platform.boxes.remove(entry.id());
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Waits until every entry takes requests and knows every upstream that runs.
+    /// Waits until every entry accepts requests and knows every upstream that runs.
     ///
     /// # Errors
     ///
@@ -285,7 +285,7 @@
     pub async fn wait_until_ready(&self) -> Result<(), SiteError> {
         let started = Instant::now();
         let running = self.upstreams.iter().filter(|upstream| upstream.side.is_some()).count();
-        while started.elapsed() < READY_WITHIN {
+        while started.elapsed() < READY_TIMEOUT {
             if self.is_ready(running).await {
                 return Ok(());
             }
@@ -298,10 +298,11 @@
         for entry in self.entries.iter().flatten() {
             let parts = entry.parts();
             let alive = parts.dispatching.view().await;
-            let heard = alive.iter().filter(|row| row.slots > 0 && row.silent_ms < 1_000).count();
+            let reachable =
+                alive.iter().filter(|row| row.slots > 0 && row.silent_ms < 1_000).count();
             let no_fleet = parts.shared.largest.read().is_ok_and(|largest| largest.is_empty());
             let wanted = running.min(parts.shared.settings.limits.upstreams);
-            if parts.shared.table().version() == 0 || heard < wanted || no_fleet {
+            if parts.shared.table().version() == 0 || reachable < wanted || no_fleet {
                 return false;
             }
         }
@@ -320,7 +321,7 @@
         self.entries.iter().flatten().map(Entry::operators).collect()
     }
 
-    /// Returns how often each job was started, over all upstreams, by their own records.
+    /// Returns how often each job was started, over all upstreams, by the stand-ins' records.
     #[must_use]
     pub fn starts(&self) -> HashMap<String, u32> {
         let mut starts = HashMap::new();
--- a/crates/rampbay-demo/tests/callers.rs
+++ b/crates/rampbay-demo/tests/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' interface over HTTP: bad input, keys, later fetch, cancel, drain.
+//! The callers' interface over HTTP: bad input, keys, answers fetched later, cancel, drain.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -165,10 +165,10 @@
     ]);
     let entry = Entry::start(settings).await.expect("entry starts");
     let addr = entry.callers();
-    // Until the entry has the table and has heard the side process.
+    // Waits until the entry has the table and has received the load of the side process.
     loop {
-        let heard = entry.parts().dispatching.view().await.iter().any(|row| row.slots > 0);
-        if heard && entry.parts().shared.table().version() > 0 {
+        let has_upstream = entry.parts().dispatching.view().await.iter().any(|row| row.slots > 0);
+        if has_upstream && entry.parts().shared.table().version() > 0 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -185,8 +185,8 @@
     }
     let cancel = call(addr, Method::DELETE, path, &[other], "").await;
     assert_eq!(cancel.status.as_u16(), 403);
-    let spend = call(addr, Method::POST, "/v1/jobs", &[other, head], "x").await;
-    assert_eq!(spend.status.as_u16(), 403);
+    let submitted = call(addr, Method::POST, "/v1/jobs", &[other, head], "x").await;
+    assert_eq!(submitted.status.as_u16(), 403);
     let table = call(entry.operators(), Method::GET, "/v1/table", &[own], "").await;
     assert_eq!(table.status.as_u16(), 401, "a caller is no operator");
 }
--- a/crates/rampbay-demo/tests/faults.rs
+++ b/crates/rampbay-demo/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Faults over the real processes' code on loopback, judged by the stand-ins' own records.
+//! Faults in a site of real entries and side processes on loopback, checked against the stand-ins'
+//! own records.
 
 use std::time::Duration;
 
@@ -36,10 +37,10 @@
     }
 }
 
-/// Judges a run by what the stand-ins saw.
-fn judge(site: &RunningSite, report: &Report, once: impl Fn(&str) -> bool) {
+/// Checks a run against the stand-ins' records.
+fn check_run(site: &RunningSite, report: &Report, once: impl Fn(&str) -> bool) {
     let starts = site.starts();
-    assert_eq!(report.wrong_answers, 0, "answers are whole and their callers' own");
+    assert_eq!(report.wrong_answers, 0, "answers are complete and belong to their requests");
     for id in &report.not_run {
         assert!(!starts.contains_key(id), "{id} was refused as not run, but started");
     }
@@ -50,7 +51,7 @@
         assert!(*count <= 1 || !once(id), "{id} may run at most once, started {count} times");
     }
     let workers = site.platform.workers.record();
-    assert_eq!(workers.opened_in_part, 0, "no gang runs in part");
+    assert_eq!(workers.opened_in_part, 0, "no gang runs before all its parts are committed");
     for upstream in &site.upstreams {
         let most = upstream.model.record().most_busy;
         // A side process that was killed leaves its requests running at the upstream.
@@ -73,7 +74,7 @@
     ListDown,
 }
 
-async fn bring_about(site: &mut RunningSite, fault: Fault) {
+async fn inject(site: &mut RunningSite, fault: Fault) {
     match fault {
         Fault::SideKilled => site.kill_side(0),
         Fault::SideRestarted => {
@@ -111,23 +112,23 @@
     }
 }
 
-/// Returns the ids of requests that must run at most once, by the load's own draw.
-fn once_of(plan: &Plan) -> Vec<String> {
-    rampbay_load::run::ids_to_run_once(plan)
+/// Returns the ids of requests that must run at most once, as the load's seed determines them.
+fn at_most_once_ids(plan: &Plan) -> Vec<String> {
+    rampbay_load::run::at_most_once_ids(plan)
 }
 
 #[rstest]
-#[case::side_process_dies_work_once_is_unknown_or_done(Fault::SideKilled)]
+#[case::side_process_killed_at_most_once_work_is_unknown_or_done(Fault::SideKilled)]
 #[case::side_process_restarts_earlier_attempts_never_start(Fault::SideRestarted)]
-#[case::side_process_leaves_its_work_moves(Fault::SideDrained)]
-#[case::entry_dies_others_go_on(Fault::EntryKilled)]
+#[case::side_process_drains_its_work_moves(Fault::SideDrained)]
+#[case::entry_killed_others_continue(Fault::EntryKilled)]
 #[case::upstreams_fail_retries_stay_within_budget(Fault::UpstreamsFail)]
 #[case::upstreams_cut_answers_are_whole_or_none(Fault::UpstreamsCut)]
-#[case::log_is_down_work_once_is_refused_truly(Fault::LogDown)]
+#[case::log_is_down_at_most_once_work_is_refused(Fault::LogDown)]
 #[case::log_loses_answers_claims_are_settled_by_reading(Fault::LogLosesAnswers)]
 #[case::workers_lose_answers_no_gang_in_part(Fault::WorkersLoseAnswers)]
-#[case::worker_dies_gangs_start_again(Fault::WorkerKilled)]
-#[case::list_is_down_last_known_stands(Fault::ListDown)]
+#[case::worker_killed_gangs_start_again(Fault::WorkerKilled)]
+#[case::list_is_down_last_known_list_is_used(Fault::ListDown)]
 #[tokio::test(flavor = "multi_thread")]
 async fn fault_under_load_promises_hold(#[case] fault: Fault) {
     let mut site = site().await;
@@ -137,16 +138,17 @@
         async move { run(&plan, |_| {}).await }
     });
     tokio::time::sleep(Duration::from_millis(700)).await;
-    bring_about(&mut site, fault).await;
+    inject(&mut site, fault).await;
     let report = load.await.expect("load ends");
     println!("{fault:?}: {:?}", report.outcomes);
-    let once = once_of(&plan);
-    judge(&site, &report, |id| once.iter().any(|known| known == id));
+    let once = at_most_once_ids(&plan);
+    check_run(&site, &report, |id| once.iter().any(|known| known == id));
     let answered = report.outcome("answered");
-    assert!(answered > 100, "the rest goes on: {:?}", report.outcomes);
+    assert!(answered > 100, "other requests are still answered: {:?}", report.outcomes);
 }
 
-/// Several faults at random moments from a seed; `RAMPBAY_FAULT_SEEDS` runs more seeds.
+/// Injects several faults at random times from a seed; `RAMPBAY_FAULT_SEEDS` sets how many seeds
+/// each case runs.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -158,11 +160,11 @@
     let more: u64 =
         std::env::var("RAMPBAY_FAULT_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(1);
     for round in 0..more {
-        together(first + 5 * round).await;
+        inject_random_faults(first + 5 * round).await;
     }
 }
 
-async fn together(seed: u64) {
+async fn inject_random_faults(seed: u64) {
     const ALL: [Fault; 10] = [
         Fault::SideKilled,
         Fault::SideRestarted,
@@ -187,13 +189,13 @@
         tokio::time::sleep(Duration::from_millis(rng.random_range(100..700))).await;
         let fault = ALL[rng.random_range(0..ALL.len())];
         seen.push(fault);
-        bring_about(&mut site, fault).await;
+        inject(&mut site, fault).await;
         if rng.random::<bool>() {
             site.platform.log.faults.set(FaultSet::default());
         }
     }
     let report = load.await.expect("load ends");
     println!("seed {seed}: {seen:?}: {:?}", report.outcomes);
-    let once = once_of(&plan);
-    judge(&site, &report, |id| once.iter().any(|known| known == id));
+    let once = at_most_once_ids(&plan);
+    check_run(&site, &report, |id| once.iter().any(|known| known == id));
 }
--- a/crates/rampbay-demo/tests/reclaim.rs
+++ b/crates/rampbay-demo/tests/reclaim.rs
@@ -1,4 +1,4 @@
-//! A guarantee comes back over the real processes, from gangs that another entry holds.
+//! An urgent job reclaims its workspace's guarantee from borrowed gangs that another entry holds.
 
 use std::{
     net::SocketAddr,
@@ -67,7 +67,7 @@
     );
     assert_eq!(answer.body, answer_for("expiry/now", b"work_ms=1 sweep"));
     let record = site.platform.workers.record();
-    assert!(record.stopped >= 1, "a borrower gave way: {record:?}");
+    assert!(record.stopped >= 1, "no borrowed gang was stopped: {record:?}");
     assert_eq!(record.opened_in_part, 0);
     assert_eq!(site.starts()["expiry/now"], 1);
 }
--- a/crates/rampbay-demo/tests/whole_path.rs
+++ b/crates/rampbay-demo/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path, on loopback, through the real processes' code.
+//! Requests through a whole site on loopback, with real entries and side processes.
 
 use std::time::Duration;
 
