--- a/crates/rampbay-policy/src/baselines.rs
+++ b/crates/rampbay-policy/src/baselines.rs
@@ -1,4 +1,4 @@
-//! Baselines: policies that an operator could have without rampbay.
+//! Baselines: policies that an operator could use without rampbay.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -39,7 +39,7 @@
     running: Vec<Running>,
 }
 
-const DEVICES: u32 = 8;
+const DEVICES_PER_WORKER: u32 = 8;
 
 impl Baseline {
     /// Creates a baseline over a fleet and a table.
@@ -59,7 +59,7 @@
             kind,
             racks,
             names: workers.iter().map(|worker| worker.id.to_string()).collect(),
-            free: vec![DEVICES; workers.len()],
+            free: vec![DEVICES_PER_WORKER; workers.len()],
             present: vec![true; workers.len()],
             owners: partition(workers.len(), table),
             workspaces: table.iter().map(|(name, _)| name.clone()).collect(),
@@ -70,34 +70,34 @@
 
     fn usable(&self, worker: usize, spec: &JobSpec) -> u32 {
         let own = self.workspaces.iter().position(|name| *name == spec.workspace);
-        let closed = self.kind == Kind::StaticPartition && own != Some(self.owners[worker]);
-        if closed || !self.present[worker] { 0 } else { self.free[worker] }
+        let foreign = self.kind == Kind::StaticPartition && own != Some(self.owners[worker]);
+        if foreign || !self.present[worker] { 0 } else { self.free[worker] }
     }
 
-    /// Finds devices within one rack; the static partition may go over its racks, since its
-    /// workers needn't stand together.
+    /// Finds devices within one rack; the static partition may place a gang across racks, since
+    /// the workers of a workspace may be in several.
     fn place(&self, spec: &JobSpec, devices: u32) -> Option<Vec<(usize, u32)>> {
         let rack_count = self.racks.iter().max().map_or(0, |last| last + 1);
-        let spread = self.kind == Kind::StaticPartition;
-        let groups: Vec<Vec<usize>> = if spread {
+        let across_racks = self.kind == Kind::StaticPartition;
+        let groups: Vec<Vec<usize>> = if across_racks {
             vec![(0..self.free.len()).collect()]
         } else {
             (0..rack_count)
                 .map(|rack| (0..self.free.len()).filter(|w| self.racks[*w] == rack).collect())
                 .collect()
         };
-        let room =
+        let capacity =
             |group: &Vec<usize>| -> u32 { group.iter().map(|w| self.usable(*w, spec)).sum() };
-        let fitting = groups.into_iter().filter(|group| room(group) >= devices);
+        let fitting = groups.into_iter().filter(|group| capacity(group) >= devices);
         let group = match self.kind {
-            Kind::BestFit => fitting.min_by_key(|group| room(group)),
+            Kind::BestFit => fitting.min_by_key(|group| capacity(group)),
             Kind::FirstInFirstOut | Kind::StaticPartition => fitting.into_iter().next(),
         }?;
         let mut order = group;
         if self.kind == Kind::BestFit {
             let fits = |w: &usize| {
                 let usable = self.usable(*w, spec);
-                if usable >= devices { (0, usable) } else { (1, DEVICES - usable) }
+                if usable >= devices { (0, usable) } else { (1, DEVICES_PER_WORKER - usable) }
             };
             order.sort_by_key(fits);
         }
@@ -132,10 +132,10 @@
     let devices: Vec<u32> = table.iter().map(|(_, knobs)| knobs.guarantee.devices()).collect();
     let total: u32 = devices.iter().sum::<u32>().max(1);
     let mut owners = Vec::new();
-    let mut reached = 0;
+    let mut cumulative = 0;
     for (at, own) in devices.iter().enumerate() {
-        reached += own;
-        let until = workers * reached as usize / total as usize;
+        cumulative += own;
+        let until = workers * cumulative as usize / total as usize;
         while owners.len() < until.max(owners.len()).min(workers) {
             owners.push(at);
         }
@@ -170,20 +170,22 @@
         }
     }
 
-    fn lose(&mut self, worker: &WorkerSpec, now: Duration) -> Vec<String> {
+    fn remove_worker(&mut self, worker: &WorkerSpec, now: Duration) -> Vec<String> {
         let Some(at) = self.names.iter().position(|name| **name == *worker.id) else {
             return Vec::new();
         };
         self.present[at] = false;
-        let hit = |running: &&Running| running.parts.iter().any(|(worker, _)| *worker == at);
-        let jobs: Vec<String> = self.running.iter().filter(hit).map(|r| r.job.clone()).collect();
+        let uses_worker =
+            |running: &&Running| running.parts.iter().any(|(worker, _)| *worker == at);
+        let jobs: Vec<String> =
+            self.running.iter().filter(uses_worker).map(|r| r.job.clone()).collect();
         for job in &jobs {
             self.stopped(job, now);
         }
         jobs
     }
 
-    fn bring_back(&mut self, worker: WorkerSpec, _now: Duration) {
+    fn restore_worker(&mut self, worker: WorkerSpec, _now: Duration) {
         if let Some(at) = self.names.iter().position(|name| **name == *worker.id) {
             self.present[at] = true;
         }
@@ -199,11 +201,15 @@
             let gang = spec.gang.as_ref();
             let devices = gang.map_or(0, |gang| gang.devices);
             let own = self.workspaces.iter().position(|name| *name == spec.workspace);
-            let most =
-                DEVICES * self.owners.iter().filter(|owner| Some(**owner) == own).count() as u32;
-            // A gang larger than its partition runs on all of it: otherwise it never would.
-            let devices =
-                if self.kind == Kind::StaticPartition { devices.min(most) } else { devices };
+            let partition_devices = DEVICES_PER_WORKER
+                * self.owners.iter().filter(|owner| Some(**owner) == own).count() as u32;
+            // A gang larger than its partition runs on the whole partition: otherwise it would
+            // never start.
+            let devices = if self.kind == Kind::StaticPartition {
+                devices.min(partition_devices)
+            } else {
+                devices
+            };
             match self.place(&spec, devices) {
                 Some(parts) => {
                     for (worker, taken) in &parts {
--- a/crates/rampbay-policy/src/lib.rs
+++ b/crates/rampbay-policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! Policy bench in virtual time: the decision core against baselines.
+//! Benchmark of scheduling policies in virtual time: rampbay's planner against baselines.
 //!
-//! It has no processes and no network: a fake of the workers carries the decisions out after a
-//! fixed time, and seeded arrivals ask for gangs. Every policy sees the same arrivals, losses and
-//! edits.
+//! There are no processes and no network: the simulation carries out the decisions to stop or to
+//! checkpoint after a fixed time, and seeded arrivals ask for gangs. Every policy gets the same
+//! arrivals, losses of workers and edits of the table.
 
 pub mod baselines;
 pub mod metrics;
--- a/crates/rampbay-policy/src/main.rs
+++ b/crates/rampbay-policy/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the policy bench and writes its report.
+//! Runs the benchmark of policies and prints its report.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -10,10 +10,10 @@
     plot::{Bar, bars, frontier},
     policy::{Policy, Rampbay},
     simulate::simulate,
-    workload::{Draw, Mix, Workload},
+    workload::{Mix, Workload, WorkloadParams},
 };
 
-/// Compares the decision core with baselines in virtual time.
+/// Compares rampbay's planner with baselines in virtual time.
 #[derive(FromArgs)]
 struct Args {
     /// seeds (default 20)
@@ -36,9 +36,9 @@
     mix: Option<String>,
 }
 
-type Maker = fn(&Workload) -> Box<dyn Policy>;
+type PolicyConstructor = fn(&Workload) -> Box<dyn Policy>;
 
-const POLICIES: [Maker; 4] = [
+const POLICIES: [PolicyConstructor; 4] = [
     |w| Box::new(Rampbay::new(&w.workers, &w.workspaces)),
     |w| Box::new(Baseline::new(Kind::FirstInFirstOut, &w.workers, &w.workspaces)),
     |w| Box::new(Baseline::new(Kind::BestFit, &w.workers, &w.workspaces)),
@@ -59,14 +59,20 @@
     ExitCode::SUCCESS
 }
 
-fn run(args: &Args, mix: Mix, packing: Option<u32>, maker: Maker) -> (String, Vec<Outcome>) {
+fn run(
+    args: &Args,
+    mix: Mix,
+    packing: Option<u32>,
+    constructor: PolicyConstructor,
+) -> (String, Vec<Outcome>) {
     let runs: Vec<(String, Outcome)> = std::thread::scope(|scope| {
         let tasks: Vec<_> = (1..=args.seeds)
             .map(|seed| {
-                let draw = Draw { mix, load: args.load, jobs: args.jobs, seed, packing };
+                let params =
+                    WorkloadParams { mix, load: args.load, jobs: args.jobs, seed, packing };
                 scope.spawn(move || {
-                    let workload = draw.draw();
-                    let mut policy = maker(&workload);
+                    let workload = params.generate();
+                    let mut policy = constructor(&workload);
                     let outcome = simulate(&workload, &mut *policy);
                     (policy.name().to_owned(), outcome)
                 })
@@ -90,7 +96,7 @@
 
 type Measure = (&'static str, fn(&Outcome) -> f64, f64);
 
-/// Name, value, and the factor that brings it to the unit of its name.
+/// Name of a measure, its value, and the factor that converts the value to the unit in the name.
 const MEASURES: [Measure; 16] = [
     ("completion p50 min", |o| o.completion_p50, 1.0 / 60.0),
     ("completion p99 min", |o| o.completion_p99, 1.0 / 60.0),
@@ -112,7 +118,8 @@
 
 fn report(args: &Args, mix: Mix) -> Result<(), String> {
     println!("{}: load {}, {} jobs, {} seeds", mix.name(), args.load, args.jobs, args.seeds);
-    let runs: Vec<_> = POLICIES.iter().map(|maker| run(args, mix, None, *maker)).collect();
+    let runs: Vec<_> =
+        POLICIES.iter().map(|constructor| run(args, mix, None, *constructor)).collect();
     let mut table = Table::new();
     let names = runs.iter().map(|(name, _)| format!("{name}: median (low to high)"));
     table.set_header(std::iter::once("measure".to_owned()).chain(names));
@@ -130,7 +137,7 @@
         plots(folder, mix, &runs)?;
     }
     if args.trace {
-        trace(args, mix)?;
+        trace_packing(args, mix)?;
     }
     Ok(())
 }
@@ -153,7 +160,7 @@
     draw("reclaim", "wait within the guarantee, p99", "seconds", |o| o.reclaim_p99)
 }
 
-fn trace(args: &Args, mix: Mix) -> Result<(), String> {
+fn trace_packing(args: &Args, mix: Mix) -> Result<(), String> {
     let mut points = Vec::new();
     for packing in [0, 20, 40, 60, 80, 100] {
         let (_, outcomes) = run(args, mix, Some(packing), POLICIES[0]);
@@ -169,5 +176,5 @@
     let Some(folder) = &args.plots else { return Ok(()) };
     let path = folder.join(format!("policy-{}-frontier.svg", mix.name()));
     let axes = ("completion time p99, minutes", "fragmentation for gangs of 16, %");
-    frontier(&path, &format!("what the packing knob trades, {}", mix.name()), &points, axes)
+    frontier(&path, &format!("trade-off of the packing knob, {}", mix.name()), &points, axes)
 }
--- a/crates/rampbay-policy/src/metrics.rs
+++ b/crates/rampbay-policy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What is measured of a policy.
+//! Measures of a policy's simulation.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,10 +7,10 @@
 
 /// Gang sizes that fragmentation is measured for.
 pub const FRAGMENT_SIZES: [u32; 3] = [8, 16, 24];
-/// A job within its guarantee that waits longer counts as a broken guarantee.
+/// A job within its guarantee that waits longer than this counts as a broken guarantee.
 const BROKEN_AFTER: Duration = Duration::from_secs(10);
-/// Gangs from this size on count as large.
-const LARGE: u32 = 16;
+/// Gangs of at least this size count as large.
+const LARGE_GANG: u32 = 16;
 
 /// A job that is done.
 #[derive(Debug, Clone)]
@@ -21,13 +21,13 @@
     pub class: Class,
     /// Time from arrival until it was done.
     pub completion: Duration,
-    /// Time that it runs on its full gang.
+    /// How long the job runs on its full gang.
     pub run: Duration,
     /// Devices of its full gang.
     pub devices: u32,
 }
 
-/// Gathers what a simulation sees.
+/// Collects the measures during a simulation.
 #[derive(Debug)]
 pub struct Observer {
     devices: u32,
@@ -58,7 +58,7 @@
     pub completion_p99_by_class: BTreeMap<String, f64>,
     /// 99th percentile of the completion time by workspace.
     pub completion_p99_by_workspace: BTreeMap<String, f64>,
-    /// Median slowdown: completion time by run time.
+    /// Median slowdown: completion time divided by run time.
     pub slowdown_p50: f64,
     /// 99th percentile of the slowdown.
     pub slowdown_p99: f64,
@@ -80,7 +80,7 @@
     pub shrinks: f64,
     /// Device-hours of work that was lost.
     pub lost_device_hours: f64,
-    /// Times that a guarantee could not be met although every worker was there.
+    /// How often a guarantee couldn't be met although every worker was present.
     pub short: f64,
     /// Jobs that never ended.
     pub unfinished: f64,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Counts the time up to `now` with what was free meanwhile.
+    /// Adds the time up to `now`, during which `free_by_rack` devices were free.
     pub fn advance(&mut self, now: Duration, free_by_rack: &[u32]) {
         let passed = now.saturating_sub(self.last).as_secs_f64();
         self.last = now;
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Counts a job that starts for the first time.
+    /// Counts a job that starts for the first time; `owned` if it fits its guarantee.
     pub fn started(&mut self, waited: Duration, devices: u32, owned: bool, class: Class) {
         let seconds = waited.as_secs_f64();
         if owned {
@@ -132,7 +132,7 @@
                 self.urgent_waits.push(seconds);
             }
         }
-        if devices >= LARGE {
+        if devices >= LARGE_GANG {
             self.large_waits.push(seconds);
         }
     }
@@ -157,8 +157,8 @@
         self.lost += device_seconds;
     }
 
-    /// Counts guaranteed devices that can't be met.
-    pub fn short(&mut self, devices: u32) {
+    /// Counts one shortage if guaranteed devices are missing.
+    pub fn count_shortage(&mut self, devices: u32) {
         self.short += u64::from(devices > 0);
     }
 
@@ -167,7 +167,7 @@
         self.unfinished = jobs as u64;
     }
 
-    /// Ends the run.
+    /// Computes the outcome of the run.
     #[must_use]
     pub fn finish(self) -> Outcome {
         let completions: Vec<f64> =
--- a/crates/rampbay-policy/src/plot.rs
+++ b/crates/rampbay-policy/src/plot.rs
@@ -7,7 +7,7 @@
 /// A named value with its spread.
 #[derive(Debug, Clone)]
 pub struct Bar {
-    /// What it is of.
+    /// The name of the policy.
     pub name: String,
     /// The lowest over all seeds.
     pub low: f64,
@@ -62,7 +62,7 @@
     root.present().map_err(|e| text(&e))
 }
 
-/// Draws the frontier of two measures that a knob traces.
+/// Draws the trade-off between two measures, one point for each value of a knob.
 ///
 /// # Errors
 ///
--- a/crates/rampbay-policy/src/policy.rs
+++ b/crates/rampbay-policy/src/policy.rs
@@ -1,4 +1,4 @@
-//! What a policy is, and the core as one.
+//! The interface of a policy, and rampbay's planner as a policy.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -10,7 +10,7 @@
     topology::{WorkerSpec, placement_devices},
 };
 
-/// What a policy wants done. Jobs go by name.
+/// A decision of a policy. Jobs are identified by their names.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
     /// The job starts now on this many devices.
@@ -20,7 +20,7 @@
         /// Its devices.
         devices: u32,
     },
-    /// The job runs on with fewer devices from now on.
+    /// The job continues with fewer devices from now on.
     Shrink {
         /// The job.
         job: String,
@@ -39,33 +39,33 @@
     },
 }
 
-/// A policy under test. Devices are counted by the policy; the simulation checks the counts.
+/// A policy under test. The policy itself counts the free devices.
 pub trait Policy {
-    /// Returns its name in reports.
+    /// Returns the policy's name in reports.
     fn name(&self) -> &'static str;
-    /// Takes a job into the queue.
+    /// Adds a job to the queue.
     fn submit(&mut self, spec: JobSpec, now: Duration);
-    /// Takes in that a job is done.
+    /// Handles the end of a job.
     fn finished(&mut self, job: &str, now: Duration);
-    /// Takes in that a job was stopped as decided, and waits again.
+    /// Handles the stop of a job, as decided; the job waits again.
     fn stopped(&mut self, job: &str, now: Duration);
-    /// Takes in that a worker is gone; returns the jobs that lose devices with it.
-    fn lose(&mut self, worker: &WorkerSpec, now: Duration) -> Vec<String>;
-    /// Takes in that a worker is back.
-    fn bring_back(&mut self, worker: WorkerSpec, now: Duration);
-    /// Takes in an edit of the table.
+    /// Handles the loss of a worker; returns the jobs that lose devices with it.
+    fn remove_worker(&mut self, worker: &WorkerSpec, now: Duration) -> Vec<String>;
+    /// Handles the return of a lost worker.
+    fn restore_worker(&mut self, worker: WorkerSpec, now: Duration);
+    /// Applies an edit of the table.
     fn edit(&mut self, workspace: WorkspaceId, knobs: Knobs, now: Duration);
-    /// Decides.
+    /// Returns the decisions that are due now.
     fn decide(&mut self, now: Duration) -> Vec<Decision>;
     /// Returns the free devices of each rack.
     fn free_by_rack(&self) -> Vec<u32>;
-    /// Returns how many guaranteed devices can't be met while every worker is there.
-    fn short(&self) -> u32 {
+    /// Returns how many guaranteed devices can't be met while every worker is present.
+    fn missing_devices(&self) -> u32 {
         0
     }
 }
 
-/// The decision core.
+/// Rampbay's planner as a policy.
 #[derive(Debug)]
 pub struct Rampbay {
     planner: Planner,
@@ -73,7 +73,7 @@
 }
 
 impl Rampbay {
-    /// Creates the core over a fleet and a table.
+    /// Creates the planner for a fleet and a table.
     #[must_use]
     pub fn new(workers: &[WorkerSpec], workspaces: &[(WorkspaceId, Knobs)]) -> Self {
         let mut planner = Planner::new(0).settings(PlanSettings::default());
@@ -93,7 +93,7 @@
     }
 
     fn submit(&mut self, spec: JobSpec, now: Duration) {
-        // A job that no place could hold can't be drawn from the mixes.
+        // The mixes contain no job that is too large for every placement.
         let _ = self.planner.submit(spec, now);
     }
 
@@ -108,7 +108,7 @@
         }
     }
 
-    fn lose(&mut self, worker: &WorkerSpec, now: Duration) -> Vec<String> {
+    fn remove_worker(&mut self, worker: &WorkerSpec, now: Duration) -> Vec<String> {
         let jobs = self.planner.remove_worker(&worker.id);
         for job in &jobs {
             self.planner.lost(job, now);
@@ -117,7 +117,7 @@
         jobs.iter().map(ToString::to_string).collect()
     }
 
-    fn bring_back(&mut self, worker: WorkerSpec, _now: Duration) {
+    fn restore_worker(&mut self, worker: WorkerSpec, _now: Duration) {
         self.planner.add_worker(worker);
     }
 
@@ -156,7 +156,7 @@
         self.planner.free_by_rack()
     }
 
-    fn short(&self) -> u32 {
+    fn missing_devices(&self) -> u32 {
         self.planner.short().devices()
     }
 }
--- a/crates/rampbay-policy/src/simulate.rs
+++ b/crates/rampbay-policy/src/simulate.rs
@@ -1,4 +1,4 @@
-//! The simulation: virtual time, a fake of the workers, and the same events for every policy.
+//! The simulation: virtual time, simulated workers, and the same events for every policy.
 
 use std::{
     cmp::Reverse,
@@ -15,10 +15,10 @@
 };
 
 /// Time in which a worker stops a task.
-const STOP: Duration = Duration::from_millis(300);
+const STOP_TIME: Duration = Duration::from_millis(300);
 /// Time in which a worker writes a checkpoint.
-const CHECKPOINT: Duration = Duration::from_millis(600);
-/// How often a policy is asked although nothing happened.
+const CHECKPOINT_TIME: Duration = Duration::from_millis(600);
+/// How often a policy is asked for decisions when no other event happens.
 const TICK: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,8 +26,8 @@
     Arrive(usize),
     Finish { job: usize, epoch: u32 },
     Stopped { job: usize, epoch: u32 },
-    Lose(usize),
-    Back(usize),
+    WorkerLost(usize),
+    WorkerBack(usize),
     Edit,
     Tick,
 }
@@ -35,16 +35,16 @@
 #[derive(Debug, Clone)]
 struct Job {
     /// Work left, as time on the full gang.
-    left: Duration,
-    full: u32,
+    remaining: Duration,
+    full_devices: u32,
     devices: u32,
-    since: Duration,
+    changed_at: Duration,
     running: bool,
-    /// Tells an end that is due from one that was overtaken.
+    /// Counts the changes of the job's state; events of an earlier epoch are outdated.
     epoch: u32,
     checkpoint: bool,
     first_start: Option<Duration>,
-    was_owned: bool,
+    fit_guarantee: bool,
     done: bool,
 }
 
@@ -55,8 +55,8 @@
     jobs: Vec<Job>,
     events: BinaryHeap<Reverse<(Duration, Event)>>,
     observer: Observer,
-    open: usize,
-    held: HashMap<usize, u32>,
+    unfinished: usize,
+    held_devices: HashMap<usize, u32>,
     lost_workers: u32,
 }
 
@@ -73,8 +73,8 @@
         jobs: Vec::new(),
         events: BinaryHeap::new(),
         observer: Observer::new(devices),
-        open: workload.arrivals.len(),
-        held: HashMap::new(),
+        unfinished: workload.arrivals.len(),
+        held_devices: HashMap::new(),
         lost_workers: 0,
         workload,
         policy,
@@ -87,49 +87,49 @@
     fn run(&mut self) {
         for (at, arrival) in self.workload.arrivals.iter().enumerate() {
             self.events.push(Reverse((arrival.at, Event::Arrive(at))));
-            let full = arrival.spec.gang.as_ref().map_or(1, |gang| gang.devices);
+            let full_devices = arrival.spec.gang.as_ref().map_or(1, |gang| gang.devices);
             self.jobs.push(Job {
-                left: arrival.run,
-                full,
+                remaining: arrival.run,
+                full_devices,
                 devices: 0,
-                since: Duration::ZERO,
+                changed_at: Duration::ZERO,
                 running: false,
                 epoch: 0,
                 checkpoint: false,
                 first_start: None,
-                was_owned: false,
+                fit_guarantee: false,
                 done: false,
             });
         }
         for (at, loss) in self.workload.losses.iter().enumerate() {
-            self.events.push(Reverse((loss.at, Event::Lose(at))));
-            self.events.push(Reverse((loss.back, Event::Back(at))));
+            self.events.push(Reverse((loss.at, Event::WorkerLost(at))));
+            self.events.push(Reverse((loss.back, Event::WorkerBack(at))));
         }
         self.events.push(Reverse((self.workload.edit.0, Event::Edit)));
         self.events.push(Reverse((TICK, Event::Tick)));
-        while self.open > 0 {
+        while self.unfinished > 0 {
             let Some(Reverse((now, event))) = self.events.pop() else { break };
             let last_arrival = self.workload.arrivals.last().map(|arrival| arrival.at);
             if last_arrival.is_some_and(|last| now > last + Duration::from_secs(7 * 86_400)) {
                 break;
             }
             self.observer.advance(now, &self.policy.free_by_rack());
-            self.take(event, now);
+            self.handle(event, now);
             for decision in self.policy.decide(now) {
                 self.carry_out(&decision, now);
             }
             if self.lost_workers == 0 {
-                self.observer.short(self.policy.short());
+                self.observer.count_shortage(self.policy.missing_devices());
             }
         }
-        self.observer.unfinished(self.open);
+        self.observer.unfinished(self.unfinished);
     }
 
-    fn take(&mut self, event: Event, now: Duration) {
+    fn handle(&mut self, event: Event, now: Duration) {
         match event {
             Event::Arrive(job) => {
                 let spec = self.workload.arrivals[job].spec.clone();
-                self.jobs[job].was_owned = self.fits_guarantee(job);
+                self.jobs[job].fit_guarantee = self.fits_guarantee(job);
                 self.policy.submit(spec, now);
             }
             Event::Finish { job, epoch } if self.jobs[job].epoch == epoch => self.finish(job, now),
@@ -139,19 +139,19 @@
                 self.policy.stopped(&name, now);
             }
             Event::Finish { .. } | Event::Stopped { .. } => {}
-            Event::Lose(loss) => {
+            Event::WorkerLost(loss) => {
                 self.lost_workers += 1;
                 let worker = &self.workload.workers[self.workload.losses[loss].worker];
-                for name in self.policy.lose(worker, now) {
+                for name in self.policy.remove_worker(worker, now) {
                     let job = self.names[&name];
                     self.jobs[job].checkpoint = false;
                     self.interrupt(job, now);
                 }
             }
-            Event::Back(loss) => {
+            Event::WorkerBack(loss) => {
                 self.lost_workers -= 1;
                 let worker = self.workload.workers[self.workload.losses[loss].worker].clone();
-                self.policy.bring_back(worker, now);
+                self.policy.restore_worker(worker, now);
             }
             Event::Edit => {
                 let (_, name, knobs) = self.workload.edit.clone();
@@ -163,22 +163,24 @@
         }
     }
 
-    /// Whether a job fits what its workspace's guarantee has left, counted in devices.
+    /// Returns whether a job fits in the unused part of its workspace's guarantee, counted in
+    /// devices.
     fn fits_guarantee(&self, job: usize) -> bool {
         let spec = &self.workload.arrivals[job].spec;
         let row = self.workload.workspaces.iter().position(|(name, _)| *name == spec.workspace);
         let Some(row) = row else { return false };
         let guarantee: Shape = self.workload.workspaces[row].1.guarantee;
-        let devices = self.jobs[job].full;
-        let held = self.held.get(&row).copied().unwrap_or(0);
-        guarantee.holds(&Shape::tightest(devices)) && held + devices <= guarantee.devices()
+        let devices = self.jobs[job].full_devices;
+        let held_devices = self.held_devices.get(&row).copied().unwrap_or(0);
+        guarantee.holds(&Shape::tightest(devices)) && held_devices + devices <= guarantee.devices()
     }
 
-    fn hold(&mut self, job: usize, devices: u32, take: bool) {
+    /// Adds devices to those that the job's workspace holds, or subtracts them.
+    fn count_held(&mut self, job: usize, devices: u32, add: bool) {
         let spec = &self.workload.arrivals[job].spec;
         let row = self.workload.workspaces.iter().position(|(name, _)| *name == spec.workspace);
-        let held = self.held.entry(row.unwrap_or(0)).or_default();
-        *held = if take { *held + devices } else { *held - devices };
+        let held_devices = self.held_devices.entry(row.unwrap_or(0)).or_default();
+        *held_devices = if add { *held_devices + devices } else { *held_devices - devices };
     }
 
     fn carry_out(&mut self, decision: &Decision, now: Duration) {
@@ -191,7 +193,7 @@
                 let at = self.names[job];
                 self.progress(at, now);
                 let before = self.jobs[at].devices;
-                self.hold(at, before - devices, false);
+                self.count_held(at, before - devices, false);
                 self.jobs[at].devices = *devices;
                 self.observer.count_shrink();
                 self.schedule_end(at, now);
@@ -199,12 +201,12 @@
             Decision::Checkpoint { job } => {
                 let at = self.names[job];
                 self.jobs[at].checkpoint = true;
-                self.schedule_stop(at, now + CHECKPOINT + STOP);
+                self.schedule_stop(at, now + CHECKPOINT_TIME + STOP_TIME);
             }
             Decision::Stop { job } => {
                 let at = self.names[job];
                 self.jobs[at].checkpoint = false;
-                self.schedule_stop(at, now + STOP);
+                self.schedule_stop(at, now + STOP_TIME);
             }
         }
     }
@@ -214,34 +216,34 @@
         let job = &mut self.jobs[at];
         job.running = true;
         job.devices = devices;
-        job.since = now;
+        job.changed_at = now;
         if job.first_start.is_none() {
             job.first_start = Some(now);
             let waited = now.saturating_sub(arrival.at);
-            self.observer.started(waited, job.full, job.was_owned, arrival.spec.class);
+            self.observer.started(waited, job.full_devices, job.fit_guarantee, arrival.spec.class);
         }
-        self.hold(at, devices, true);
+        self.count_held(at, devices, true);
         self.schedule_end(at, now);
     }
 
-    /// Counts the work that was done since the job last changed.
+    /// Subtracts the work that was done since the job last changed.
     fn progress(&mut self, at: usize, now: Duration) {
         let job = &mut self.jobs[at];
-        let speed = f64::from(job.devices) / f64::from(job.full);
-        let done = now.saturating_sub(job.since).mul_f64(speed);
-        job.left = job.left.saturating_sub(done);
-        job.since = now;
+        let speed = f64::from(job.devices) / f64::from(job.full_devices);
+        let done = now.saturating_sub(job.changed_at).mul_f64(speed);
+        job.remaining = job.remaining.saturating_sub(done);
+        job.changed_at = now;
     }
 
     fn schedule_end(&mut self, at: usize, now: Duration) {
         let job = &mut self.jobs[at];
         job.epoch += 1;
-        let speed = f64::from(job.devices.max(1)) / f64::from(job.full);
-        let end = now + job.left.div_f64(speed);
+        let speed = f64::from(job.devices.max(1)) / f64::from(job.full_devices);
+        let end = now + job.remaining.div_f64(speed);
         self.events.push(Reverse((end, Event::Finish { job: at, epoch: job.epoch })));
     }
 
-    /// The job may still end before its stop takes effect.
+    /// Schedules the stop of a job; the job may still end before the stop takes effect.
     fn schedule_stop(&mut self, at: usize, when: Duration) {
         let epoch = self.jobs[at].epoch;
         self.events.push(Reverse((when, Event::Stopped { job: at, epoch })));
@@ -257,11 +259,11 @@
             self.observer.count_move();
         } else {
             let job = &mut self.jobs[at];
-            let lost = now.saturating_sub(job.since).as_secs_f64() * f64::from(devices);
-            job.left = self.workload.arrivals[at].run;
+            let lost = now.saturating_sub(job.changed_at).as_secs_f64() * f64::from(devices);
+            job.remaining = self.workload.arrivals[at].run;
             self.observer.count_lost(lost);
         }
-        self.hold(at, devices, false);
+        self.count_held(at, devices, false);
         let job = &mut self.jobs[at];
         job.running = false;
         job.checkpoint = false;
@@ -271,18 +273,18 @@
     fn finish(&mut self, at: usize, now: Duration) {
         let arrival = &self.workload.arrivals[at];
         let devices = self.jobs[at].devices;
-        self.hold(at, devices, false);
+        self.count_held(at, devices, false);
         let job = &mut self.jobs[at];
         job.running = false;
         job.done = true;
         job.epoch += 1;
-        self.open -= 1;
+        self.unfinished -= 1;
         self.observer.finished(&Finished {
             workspace: arrival.spec.workspace.clone(),
             class: arrival.spec.class,
             completion: now.saturating_sub(arrival.at),
             run: arrival.run,
-            devices: job.full,
+            devices: job.full_devices,
         });
         self.policy.finished(&arrival.spec.id, now);
     }
--- a/crates/rampbay-policy/src/workload.rs
+++ b/crates/rampbay-policy/src/workload.rs
@@ -25,15 +25,15 @@
 /// A worker that is lost for a while.
 #[derive(Debug, Clone)]
 pub struct Loss {
-    /// When it goes.
+    /// When the worker is lost.
     pub at: Duration,
-    /// When it is back.
+    /// When the worker is back.
     pub back: Duration,
-    /// Its row in the fleet.
+    /// The worker's index in the fleet.
     pub worker: usize,
 }
 
-/// Everything that a policy is confronted with.
+/// The input of a simulation, the same for every policy.
 #[derive(Debug, Clone)]
 pub struct Workload {
     /// The fleet.
@@ -44,11 +44,11 @@
     pub arrivals: Vec<Arrival>,
     /// Lost workers.
     pub losses: Vec<Loss>,
-    /// A table edit in flight: when, and the new knobs of a workspace.
+    /// An edit of the table during the run: its time, a workspace, and the workspace's new knobs.
     pub edit: (Duration, WorkspaceId, Knobs),
 }
 
-/// One of the two users' mixes.
+/// The mix of jobs of one of the two users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mix {
     /// Many short forecasts and reconciliations, some large.
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Mean run time by size: large ones run longer.
+    /// Mean run time by size: large gangs run longer.
     fn mean_run(self, devices: u32) -> Duration {
         let minutes = match (self, devices) {
             (Mix::Stockline, 1..=4) => 12,
@@ -124,9 +124,9 @@
     }
 }
 
-/// What a workload is drawn from.
+/// The parameters of a workload.
 #[derive(Debug, Clone, Copy)]
-pub struct Draw {
+pub struct WorkloadParams {
     /// The mix.
     pub mix: Mix,
     /// Offered load as a share of the fleet's devices.
@@ -139,12 +139,12 @@
     pub packing: Option<u32>,
 }
 
-const DEVICES: f64 = 80.0;
+const FLEET_DEVICES: f64 = 80.0;
 
-impl Draw {
-    /// Draws the workload.
+impl WorkloadParams {
+    /// Generates the workload from its seed.
     #[must_use]
-    pub fn draw(self) -> Workload {
+    pub fn generate(self) -> Workload {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let mut workspaces = self.mix.workspaces();
         if let Some(packing) = self.packing {
@@ -160,11 +160,12 @@
                 share * f64::from(*devices) * self.mix.mean_run(*devices).as_secs_f64()
             })
             .sum();
-        let rate = self.load * DEVICES / mean;
+        let rate = self.load * FLEET_DEVICES / mean;
         let mut at = 0.0;
         let mut arrivals = Vec::new();
         while arrivals.len() < self.jobs {
-            // A burst brings several jobs of one workspace at once, as seldom as it is large.
+            // A burst is several jobs of one workspace at once; the gap before a burst grows with
+            // its size, so that the mean rate stays.
             let burst = if rng.random::<f64>() < 0.05 { rng.random_range(4..16) } else { 1 };
             at += -(1.0 - rng.random::<f64>()).ln() / rate * f64::from(burst);
             let workspace = pick(&mut rng, &[(0, 0.4), (1, 0.25), (2, 0.2), (3, 0.15)]);
