--- a/crates/rampbay-standin/src/http.rs
+++ b/crates/rampbay-standin/src/http.rs
@@ -4,7 +4,7 @@
 
 use async_trait::async_trait;
 use bytes::Bytes;
-use rampbay_node::serve::{Serving, render_json};
+use rampbay_node::serve::{HttpServer, render_json};
 use rampbay_platform::{
     boxes::{BoxRow, Boxes},
     http::{
@@ -27,7 +27,7 @@
 
 /// The largest body that the stand-ins read, in bytes.
 const MAX_BODY: usize = 64 * 1024 * 1024;
-/// Records in one page of the log unless asked for otherwise.
+/// Records in one page of the log unless the request sets `max`.
 const DEFAULT_PAGE: usize = 1_000;
 
 /// The platform's stand-ins.
@@ -171,9 +171,9 @@
 }
 
 async fn worker_call(platform: &Platform, req: &mut Request, res: &mut Response) {
-    let (id, what) = (param(req, "id"), param(req, "call"));
+    let (id, call) = (param(req, "id"), param(req, "call"));
     let workers = &platform.workers;
-    match what.as_str() {
+    match call.as_str() {
         "hold" => {
             let Some(hold) = body::<HoldRequest>(req, res).await else {
                 return;
@@ -226,7 +226,7 @@
 /// # Errors
 ///
 /// Returns an error if the address can't be listened on.
-pub async fn serve_platform(addr: SocketAddr, platform: Platform) -> io::Result<Serving> {
+pub async fn serve_platform(addr: SocketAddr, platform: Platform) -> io::Result<HttpServer> {
     let api = |endpoint| Api { platform: platform.clone(), endpoint };
     let router = Router::new()
         .push(
@@ -239,7 +239,7 @@
         .push(Router::with_path("workers/{id}/{call}").post(api(Endpoint::WorkerCall)))
         .push(Router::with_path("record").get(api(Endpoint::Record)))
         .push(Router::with_path("faults/{name}").post(api(Endpoint::Faults)));
-    Serving::start(addr, router).await
+    HttpServer::start(addr, router).await
 }
 
 struct UpstreamApi {
@@ -285,7 +285,7 @@
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
             refuse(res, status, "failed");
         }
-        // A length that the body doesn't keep makes the server break the connection off.
+        // A content length larger than the body makes the server break the connection off.
         Err(_) => {
             res.status_code(StatusCode::OK);
             let _ = res.add_header("content-length", "1000000", true);
@@ -299,11 +299,14 @@
 /// # Errors
 ///
 /// Returns an error if the address can't be listened on.
-pub async fn serve_upstream(addr: SocketAddr, upstream: Arc<UpstreamModel>) -> io::Result<Serving> {
+pub async fn serve_upstream(
+    addr: SocketAddr,
+    upstream: Arc<UpstreamModel>,
+) -> io::Result<HttpServer> {
     let api = |endpoint| UpstreamApi { upstream: upstream.clone(), endpoint };
     let router = Router::new()
         .push(Router::with_path("work").post(api(UpstreamEndpoint::Work)))
         .push(Router::with_path("record").get(api(UpstreamEndpoint::Record)))
         .push(Router::with_path("faults").post(api(UpstreamEndpoint::Faults)));
-    Serving::start(addr, router).await
+    HttpServer::start(addr, router).await
 }
