--- a/crates/rampbay-entry/src/callers.rs
+++ b/crates/rampbay-entry/src/callers.rs
@@ -1,5 +1,5 @@
-//! The callers' interface over HTTP. `docs/openapi.json` describes it; a test holds the two
-//! together.
+//! The callers' interface over HTTP. `docs/openapi.json` describes it; a test checks that both have
+//! the same routes.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -12,19 +12,19 @@
 
 use crate::{
     entry::Parts,
-    jobs::{JobKey, Progress, Taken},
+    jobs::{Admission, JobKey, Progress},
     keys::Access,
     lifecycle::{self, reason_code},
     shared::Shared,
 };
 
-/// Header that carries a request's head as JSON.
+/// Header that carries a request's head, a [`JobSpec`], as JSON.
 pub const HEAD_HEADER: &str = "rampbay-job";
-/// Header that says how a request ended.
+/// Header with a request's outcome: `answered`, `not_run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "rampbay-outcome";
-/// Header with the stable code of the reason.
+/// Header with the stable code of the outcome's reason.
 pub const REASON_HEADER: &str = "rampbay-reason";
-/// Header with the status that the upstream gave.
+/// Header with the HTTP status that the upstream answered with.
 pub const UPSTREAM_STATUS_HEADER: &str = "rampbay-upstream-status";
 
 const MAX_ID_LENGTH: usize = 200;
@@ -36,7 +36,7 @@
     ("/v1/jobs/{workspace}/{id}/answer", &["get"]),
 ];
 
-/// What is said of a request that has no answer to give.
+/// The JSON body for the status of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusBody {
     /// The request's id.
@@ -45,13 +45,14 @@
     pub outcome: String,
     /// The stable code of the reason.
     pub reason: String,
-    /// The same for people.
+    /// The reason in words, for people.
     pub explanation: String,
-    /// What the entry keeps: an open request is lost if this entry is.
+    /// The id of the entry that holds the open request in memory, empty once it is settled. An open
+    /// request is lost with its entry.
     pub kept_by: String,
 }
 
-/// What is said of bad input.
+/// The JSON body that rejects bad input.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
     /// The field that is wrong.
@@ -60,15 +61,15 @@
     pub error: String,
 }
 
-/// Input that isn't taken.
+/// Why a request is rejected, with the status of the answer.
 #[derive(Debug)]
-struct Bad {
+struct RequestError {
     status: StatusCode,
     field: &'static str,
     error: String,
 }
 
-impl Bad {
+impl RequestError {
     fn new(status: StatusCode, field: &'static str, error: impl Into<String>) -> Self {
         Self { status, field, error: error.into() }
     }
@@ -77,7 +78,7 @@
 #[derive(Debug, Clone, Copy)]
 enum Endpoint {
     Submit,
-    Ask,
+    Status,
     Fetch,
     Cancel,
 }
@@ -98,13 +99,13 @@
     ) {
         let result = match self.endpoint {
             Endpoint::Submit => submit(&self.parts, req, res).await,
-            Endpoint::Ask => ask(&self.parts, req, res).await,
+            Endpoint::Status => report_status(&self.parts, req, res).await,
             Endpoint::Fetch => fetch(&self.parts, req, res).await,
             Endpoint::Cancel => cancel(&self.parts, req, res),
         };
-        if let Err(bad) = result {
-            let body = ErrorBody { field: bad.field.to_owned(), error: bad.error };
-            render_json(res, bad.status, &body);
+        if let Err(e) = result {
+            let body = ErrorBody { field: e.field.to_owned(), error: e.error };
+            render_json(res, e.status, &body);
         }
     }
 }
@@ -117,7 +118,7 @@
         .push(Router::with_path("v1/jobs").post(api(Endpoint::Submit)))
         .push(
             Router::with_path("v1/jobs/{workspace}/{id}")
-                .get(api(Endpoint::Ask))
+                .get(api(Endpoint::Status))
                 .delete(api(Endpoint::Cancel)),
         )
         .push(Router::with_path("v1/jobs/{workspace}/{id}/answer").get(api(Endpoint::Fetch)))
@@ -128,14 +129,19 @@
     shared.keys.access(header)
 }
 
-/// A caller of one workspace can't even learn whether another's request exists.
-fn allow(shared: &Shared, req: &Request, workspace: &str) -> Result<(), Bad> {
+/// Checks that the request's key gives access to a workspace.
+///
+/// The check comes before any look-up, so that a caller of one workspace can't learn whether a
+/// request of another exists.
+fn allow(shared: &Shared, req: &Request, workspace: &str) -> Result<(), RequestError> {
     match access(shared, req) {
-        Access::Denied => {
-            Err(Bad::new(StatusCode::UNAUTHORIZED, "authorization", "key is missing or unknown"))
-        }
+        Access::Denied => Err(RequestError::new(
+            StatusCode::UNAUTHORIZED,
+            "authorization",
+            "key is missing or unknown",
+        )),
         access if access.covers(workspace) => Ok(()),
-        _ => Err(Bad::new(
+        _ => Err(RequestError::new(
             StatusCode::FORBIDDEN,
             "workspace",
             "this key doesn't speak for the workspace",
@@ -143,70 +149,73 @@
     }
 }
 
-fn read_head(req: &Request) -> Result<JobSpec, Bad> {
-    let bad = |error: String| Bad::new(StatusCode::BAD_REQUEST, HEAD_HEADER, error);
+fn read_head(req: &Request) -> Result<JobSpec, RequestError> {
+    let reject = |error: String| RequestError::new(StatusCode::BAD_REQUEST, HEAD_HEADER, error);
     let header = req
         .headers()
         .get(HEAD_HEADER)
-        .ok_or_else(|| bad("header is missing; it carries the request's head as JSON".into()))?;
+        .ok_or_else(|| reject("header is missing; it carries the request's head as JSON".into()))?;
     let spec: JobSpec =
-        serde_json::from_slice(header.as_bytes()).map_err(|e| bad(e.to_string()))?;
+        serde_json::from_slice(header.as_bytes()).map_err(|e| reject(e.to_string()))?;
     Ok(spec)
 }
 
-fn check_head(shared: &Shared, spec: &JobSpec) -> Result<(), Bad> {
-    let bad = |field, error: String| Err(Bad::new(StatusCode::BAD_REQUEST, field, error));
+fn check_head(shared: &Shared, spec: &JobSpec) -> Result<(), RequestError> {
+    let reject =
+        |field, error: String| Err(RequestError::new(StatusCode::BAD_REQUEST, field, error));
     let printable = spec.id.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'/');
     if spec.id.is_empty() || spec.id.len() > MAX_ID_LENGTH || !printable {
         let error = format!("must be 1 to {MAX_ID_LENGTH} visible ASCII characters without `/`");
-        return bad("id", error);
+        return reject("id", error);
     }
     let table = shared.table();
     let Some(knobs) = table.knobs(&spec.workspace) else {
         let error = format!("workspace `{}` is not in the table", spec.workspace);
-        return bad("workspace", error);
+        return reject("workspace", error);
     };
     let ceiling = knobs.deadline_ceiling_ms;
     if spec.deadline_ms.is_some_and(|deadline| deadline == 0 || deadline > ceiling) {
-        return bad("deadline_ms", format!("must be 1 to {ceiling} ms for this workspace"));
+        return reject("deadline_ms", format!("must be 1 to {ceiling} ms for this workspace"));
     }
     let Some(gang) = &spec.gang else {
         return Ok(());
     };
     if gang.devices == 0 {
-        return bad("gang.devices", "must be at least 1".into());
+        return reject("gang.devices", "must be at least 1".into());
     }
     if gang.min_devices.is_some_and(|min| min == 0 || min > gang.devices) {
-        return bad("gang.min_devices", format!("must be 1 to {}", gang.devices));
+        return reject("gang.min_devices", format!("must be 1 to {}", gang.devices));
     }
     let largest = shared.largest.read().unwrap_or_else(std::sync::PoisonError::into_inner);
     match largest.get(&gang.adjacency) {
-        Some(most) if gang.smallest() > *most && *most > 0 => {
-            bad("gang.devices", format!("the largest such place has {most} devices"))
+        Some(max_devices) if gang.smallest() > *max_devices && *max_devices > 0 => {
+            reject("gang.devices", format!("the largest such place has {max_devices} devices"))
         }
         _ => Ok(()),
     }
 }
 
-async fn read_body(shared: &Shared, req: &mut Request) -> Result<Bytes, Bad> {
-    let most = shared.settings.limits.body_bytes;
+async fn read_body(shared: &Shared, req: &mut Request) -> Result<Bytes, RequestError> {
+    let max_bytes = shared.settings.limits.body_bytes;
     let too_large = || {
-        let error = format!("larger than {most} bytes");
-        Bad::new(StatusCode::PAYLOAD_TOO_LARGE, "body", error)
+        let error = format!("larger than {max_bytes} bytes");
+        RequestError::new(StatusCode::PAYLOAD_TOO_LARGE, "body", error)
     };
     let announced = req.headers().get("content-length").and_then(|v| v.to_str().ok());
-    if announced.and_then(|text| text.parse::<usize>().ok()).is_some_and(|size| size > most) {
+    if announced.and_then(|text| text.parse::<usize>().ok()).is_some_and(|size| size > max_bytes) {
         return Err(too_large());
     }
-    req.set_secure_max_size(most);
+    req.set_secure_max_size(max_bytes);
     match req.payload().await {
         Ok(body) => Ok(body.clone()),
         Err(salvo::http::ParseError::PayloadTooLarge) => Err(too_large()),
-        Err(e) => Err(Bad::new(StatusCode::BAD_REQUEST, "body", e.to_string())),
+        Err(e) => Err(RequestError::new(StatusCode::BAD_REQUEST, "body", e.to_string())),
     }
 }
 
-/// Cancels a request whose caller goes away while it waits.
+/// Reports on drop that the caller has gone, which may cancel its request.
+///
+/// The key is cleared once the outcome is known.
 struct CallerGuard<'a> {
     shared: &'a Shared,
     key: Option<JobKey>,
@@ -220,7 +229,7 @@
     }
 }
 
-async fn submit(parts: &Parts, req: &mut Request, res: &mut Response) -> Result<(), Bad> {
+async fn submit(parts: &Parts, req: &mut Request, res: &mut Response) -> Result<(), RequestError> {
     let shared = &parts.shared;
     let spec = read_head(req)?;
     allow(shared, req, &spec.workspace)?;
@@ -234,23 +243,23 @@
     }
     check_head(shared, &spec)?;
     let body = read_body(shared, req).await?;
-    let Some(room) = shared.jobs.hold_bytes(body.len()) else {
+    let Some(room) = shared.jobs.reserve_bytes(body.len()) else {
         render_outcome(res, &spec.id, &Outcome::NotRun(NotRun::QueueFull));
         return Ok(());
     };
     let key = (spec.workspace.clone(), spec.id.clone());
     let digest = rapidhash::v3::rapidhash_v3(&body);
-    let progress = match shared.jobs.take(&spec, digest) {
-        Taken::New(progress, cancelled) => {
+    let progress = match shared.jobs.admit(&spec, digest) {
+        Admission::New(progress, cancelled) => {
             shared.spawn(lifecycle::run(parts.clone(), spec.clone(), body, cancelled));
             progress
         }
-        Taken::Known(progress) => progress,
-        Taken::Conflict => {
+        Admission::Known(progress) => progress,
+        Admission::Conflict => {
             let error = "another request of this workspace has this id";
-            return Err(Bad::new(StatusCode::CONFLICT, "id", error));
+            return Err(RequestError::new(StatusCode::CONFLICT, "id", error));
         }
-        Taken::Full => {
+        Admission::Full => {
             render_outcome(res, &spec.id, &Outcome::NotRun(NotRun::QueueFull));
             return Ok(());
         }
@@ -271,7 +280,7 @@
     let settled = progress.wait_for(|progress| matches!(progress, Progress::Settled(_))).await;
     match settled.as_deref() {
         Ok(Progress::Settled(outcome)) => outcome.clone(),
-        // The record is gone before its outcome: the entry ends.
+        // The record was dropped before it had an outcome, so the entry is ending.
         Ok(Progress::Open) | Err(_) => Outcome::Unknown(Unknown::SideUnreachable),
     }
 }
@@ -281,16 +290,25 @@
     (param("workspace").into(), param("id").into())
 }
 
-fn find(shared: &Shared, req: &Request) -> Result<(JobKey, watch::Receiver<Progress>), Bad> {
+fn find(
+    shared: &Shared,
+    req: &Request,
+) -> Result<(JobKey, watch::Receiver<Progress>), RequestError> {
     let key = key_of(req);
     allow(shared, req, &key.0)?;
     match shared.jobs.find(&key) {
         Some((_, progress)) => Ok((key, progress)),
-        None => Err(Bad::new(StatusCode::NOT_FOUND, "id", "this entry has no such request")),
+        None => {
+            Err(RequestError::new(StatusCode::NOT_FOUND, "id", "this entry has no such request"))
+        }
     }
 }
 
-async fn ask(parts: &Parts, req: &mut Request, res: &mut Response) -> Result<(), Bad> {
+async fn report_status(
+    parts: &Parts,
+    req: &mut Request,
+    res: &mut Response,
+) -> Result<(), RequestError> {
     let shared = &parts.shared;
     let (key, progress) = find(shared, req)?;
     let progress = progress.borrow().clone();
@@ -311,7 +329,7 @@
     Ok(())
 }
 
-async fn fetch(parts: &Parts, req: &mut Request, res: &mut Response) -> Result<(), Bad> {
+async fn fetch(parts: &Parts, req: &mut Request, res: &mut Response) -> Result<(), RequestError> {
     let shared = &parts.shared;
     let (key, progress) = find(shared, req)?;
     if req.query::<bool>("wait") == Some(false) && matches!(*progress.borrow(), Progress::Open) {
@@ -323,7 +341,7 @@
     Ok(())
 }
 
-fn cancel(parts: &Parts, req: &mut Request, res: &mut Response) -> Result<(), Bad> {
+fn cancel(parts: &Parts, req: &mut Request, res: &mut Response) -> Result<(), RequestError> {
     let (key, _) = find(&parts.shared, req)?;
     parts.shared.jobs.cancel(&key);
     render_open(&parts.shared, res, &key.1);
@@ -356,7 +374,7 @@
     }
 }
 
-/// Writes an outcome as the answer of a call.
+/// Writes an outcome as the answer to a caller.
 fn render_outcome(res: &mut Response, id: &str, outcome: &Outcome) {
     let (status, retry_after) = status_code(outcome);
     let reason = reason_code(outcome);
@@ -378,7 +396,7 @@
     }
 }
 
-/// Returns the status of an outcome, and after how many seconds a caller may try again.
+/// Returns the HTTP status of an outcome and the value of `retry-after` in seconds, if it has one.
 fn status_code(outcome: &Outcome) -> (StatusCode, Option<u32>) {
     match outcome {
         Outcome::Answered(_) => (StatusCode::OK, None),
--- a/crates/rampbay-entry/src/jobs.rs
+++ b/crates/rampbay-entry/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Records of the requests that this entry has taken in, and of their outcomes.
+//! Records of the requests that this entry has admitted, and of their outcomes.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -19,13 +19,13 @@
 /// What a caller can see of a request.
 #[derive(Debug, Clone)]
 pub enum Progress {
-    /// It has no outcome yet.
+    /// The request has no outcome yet.
     Open,
-    /// Its outcome.
+    /// The request's outcome.
     Settled(Outcome),
 }
 
-/// Names a request: two workspaces may use the same id.
+/// Identifies a request: ids are unique only within a workspace.
 pub type JobKey = (WorkspaceId, JobId);
 
 #[derive(Debug)]
@@ -46,43 +46,48 @@
     open: usize,
 }
 
-/// The records.
+/// The records of all requests.
 #[derive(Debug)]
 pub struct Jobs {
     inner: Mutex<Inner>,
     keep_for: Duration,
     keep_bytes: usize,
-    most_open: usize,
+    max_open: usize,
     held_bytes: AtomicUsize,
-    most_held_bytes: usize,
-    /// Requests that were joined to one of the same id.
+    max_held_bytes: usize,
+    /// Requests that were joined to an earlier submission of the same request.
     pub joined: AtomicU64,
 }
 
-/// What became of taking a request in.
+/// The result of [`Jobs::admit`].
 #[derive(Debug)]
-pub enum Taken {
-    /// It is new; the second receiver tells when it is to be cancelled.
+pub enum Admission {
+    /// The request is new; the second receiver signals that it is to be cancelled.
     New(watch::Receiver<Progress>, watch::Receiver<bool>),
-    /// The same request is known; its outcome serves for both.
+    /// The same request was admitted before; both submissions get its outcome.
     Known(watch::Receiver<Progress>),
-    /// Another request has this id.
+    /// A different request has this id.
     Conflict,
-    /// The entry holds as many requests as it may.
+    /// The entry has reached its limit of open requests.
     Full,
 }
 
 impl Jobs {
     /// Creates an empty store.
     #[must_use]
-    pub fn new(keep_for: Duration, keep_bytes: usize, most_open: usize, held: usize) -> Self {
+    pub fn new(
+        keep_for: Duration,
+        keep_bytes: usize,
+        max_open: usize,
+        max_held_bytes: usize,
+    ) -> Self {
         Self {
             inner: Mutex::default(),
             keep_for,
             keep_bytes,
-            most_open,
+            max_open,
             held_bytes: AtomicUsize::new(0),
-            most_held_bytes: held,
+            max_held_bytes,
             joined: AtomicU64::new(0),
         }
     }
@@ -91,24 +96,24 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a request in, unless its id is known.
+    /// Admits a request, unless its id is known.
     ///
-    /// A request that was refused as not run may be sent again under its id.
-    pub fn take(&self, spec: &JobSpec, body_digest: u64) -> Taken {
+    /// A request that ended as not run may be sent again under its id.
+    pub fn admit(&self, spec: &JobSpec, body_digest: u64) -> Admission {
         let mut inner = self.lock();
         let key = (spec.workspace.clone(), spec.id.clone());
         if let Some(row) = inner.rows.get(&key) {
             let again = matches!(&*row.tx.borrow(), Progress::Settled(Outcome::NotRun(_)));
             if !again {
                 if row.spec != *spec || row.body_digest != body_digest {
-                    return Taken::Conflict;
+                    return Admission::Conflict;
                 }
                 self.joined.fetch_add(1, Ordering::Relaxed);
-                return Taken::Known(row.tx.subscribe());
+                return Admission::Known(row.tx.subscribe());
             }
         }
-        if inner.open >= self.most_open {
-            return Taken::Full;
+        if inner.open >= self.max_open {
+            return Admission::Full;
         }
         inner.forget(&key);
         let (tx, rx) = watch::channel(Progress::Open);
@@ -116,10 +121,12 @@
         let row = JobRow { spec: spec.clone(), tx, cancel, settled: None, bytes: 0, body_digest };
         inner.rows.insert(key, row);
         inner.open += 1;
-        Taken::New(rx, cancelled)
+        Admission::New(rx, cancelled)
     }
 
-    /// Settles a request's one outcome.
+    /// Sets the outcome of a request, unless it has one.
+    ///
+    /// Also drops the oldest settled requests beyond the limits of age and bytes.
     pub fn settle(&self, key: &JobKey, outcome: Outcome, now: Duration) {
         let mut inner = self.lock();
         let Some(row) = inner.rows.get_mut(key) else {
@@ -158,7 +165,7 @@
         Some((row.spec.clone(), row.tx.subscribe()))
     }
 
-    /// Has a request cancelled; returns whether it is known.
+    /// Signals that a request is to be cancelled; returns whether it is known.
     pub fn cancel(&self, key: &JobKey) -> bool {
         let inner = self.lock();
         let Some(row) = inner.rows.get(key) else {
@@ -168,9 +175,9 @@
         true
     }
 
-    /// Has a request cancelled whose last caller has gone.
+    /// Cancels a repeatable request whose last caller has gone.
     ///
-    /// Work that must not be repeated goes on: its caller may come back for the answer.
+    /// Work that must not be repeated continues: its caller may come back for the answer.
     pub fn caller_gone(&self, key: &JobKey) {
         let inner = self.lock();
         let Some(row) = inner.rows.get(key) else {
@@ -181,12 +188,12 @@
         }
     }
 
-    /// Returns every request that has no outcome, at most `most`.
+    /// Returns at most `limit` of the requests that have no outcome.
     #[must_use]
-    pub fn open(&self, most: usize) -> Vec<JobSpec> {
+    pub fn open(&self, limit: usize) -> Vec<JobSpec> {
         let inner = self.lock();
         let open = inner.rows.values().filter(|row| row.settled.is_none());
-        open.take(most).map(|row| row.spec.clone()).collect()
+        open.take(limit).map(|row| row.spec.clone()).collect()
     }
 
     /// Returns the number of requests that have no outcome.
@@ -195,12 +202,14 @@
         self.lock().open
     }
 
-    /// Takes room for a body; dropping the guard gives it back.
+    /// Reserves memory for a body, or returns `None` if the limit would be exceeded.
+    ///
+    /// Dropping the guard ends the reservation.
     #[must_use]
-    pub fn hold_bytes(&self, bytes: usize) -> Option<BytesGuard<'_>> {
+    pub fn reserve_bytes(&self, bytes: usize) -> Option<BytesGuard<'_>> {
         let before = self.held_bytes.fetch_add(bytes, Ordering::Relaxed);
         let guard = BytesGuard { held: &self.held_bytes, bytes };
-        (before + bytes <= self.most_held_bytes).then_some(guard)
+        (before + bytes <= self.max_held_bytes).then_some(guard)
     }
 }
 
@@ -212,7 +221,7 @@
     }
 }
 
-/// Room for a body.
+/// A reservation of memory for a body, which ends on drop.
 #[derive(Debug)]
 pub struct BytesGuard<'a> {
     held: &'a AtomicUsize,
