--- a/crates/rampbay-entry/src/claims.rs
+++ b/crates/rampbay-entry/src/claims.rs
@@ -1,9 +1,10 @@
 //! Claims of work that must run at most once, in the log.
 //!
 //! Two entries may get the same request, for example because a caller sent it again after its
-//! entry died. Before an attempt of work that isn't repeatable is sent, its entry appends a claim;
-//! the first claim in the log's order wins, and every other entry knows that it didn't. Claims of
-//! several requests share one append, so that bursts stay within what the log takes.
+//! entry died. Before an attempt of work that isn't repeatable is sent, its entry appends a claim
+//! and reads it back: the first claim in the log's order wins, and every other entry sees that its
+//! own claim lost. Claims of several requests share one append, so that bursts stay within what the
+//! log can take.
 
 use std::{
     collections::HashMap,
@@ -22,46 +23,47 @@
 
 use crate::shared::Shared;
 
-/// The stream that claims go to.
+/// The log stream that holds the claims.
 pub const STREAM: &str = "claims";
-/// Claims in one append at most.
-const BATCH: usize = 256;
-/// Time in which claims gather for one append.
-const GATHER: Duration = Duration::from_millis(4);
-/// Time after which an unanswered claim counts as unavailable.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Records read at once.
-const PAGE: usize = 500;
+/// Most claims in one append.
+const MAX_BATCH: usize = 256;
+/// Time for which claims are collected for one append.
+const BATCH_WINDOW: Duration = Duration::from_millis(4);
+/// Time after which a claim without a result counts as unavailable.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
+/// Most records in one read of the log.
+const MAX_PAGE_RECORDS: usize = 500;
 
-/// One line of a claims record.
+/// One claim or release in a record of the claims stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The job, with its workspace.
     pub job: JobId,
     /// The claiming entry's incarnation.
     pub entry: Incarnation,
-    /// Tells the claims of one entry apart: a job that it claimed before isn't its to run again.
+    /// Distinguishes the claims of one entry: a job that the entry has claimed before must not run
+    /// again under a new claim.
     pub number: u64,
-    /// Whether the claim is given back because the job provably didn't run.
+    /// Whether this releases the claim because the job provably didn't run.
     #[serde(default)]
     pub released: bool,
 }
 
-/// What became of a claim.
+/// The result of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Claimed {
-    /// The job is this entry's to run.
+    /// This entry may run the job.
     Won,
-    /// Another entry had claimed it.
+    /// An earlier claim holds the job, so this entry must not run it.
     Lost,
-    /// The log can't be reached; nothing may run.
+    /// The log can't be reached, so the job must not run.
     Unavailable,
 }
 
 /// An entry's incarnation, and the number that it gave the claim.
 pub type ClaimId = (Incarnation, u64);
 
-/// The claims that the log holds, folded in its order.
+/// The claims that the log holds, applied in its order.
 #[derive(Debug, Default)]
 pub struct ClaimIndex {
     holders: HashMap<JobId, ClaimId>,
@@ -69,7 +71,7 @@
 }
 
 impl ClaimIndex {
-    /// Folds one record.
+    /// Applies one record; a record that can't be decoded is skipped.
     pub fn apply(&mut self, offset: u64, data: &[u8]) {
         self.next = offset + 1;
         let Ok(claims) = serde_json::from_slice::<Vec<Claim>>(data) else {
@@ -84,13 +86,13 @@
         }
     }
 
-    /// Returns who holds a job's claim.
+    /// Returns the claim that holds a job.
     #[must_use]
     pub fn holder(&self, job: &str) -> Option<ClaimId> {
         self.holders.get(job).copied()
     }
 
-    /// Returns the offset of the next record to fold.
+    /// Returns the offset of the next record to apply.
     #[must_use]
     pub const fn next(&self) -> u64 {
         self.next
@@ -102,7 +104,7 @@
     Release(JobId, u64),
 }
 
-/// The sending end of the claims task.
+/// A handle to the task that appends claims.
 #[derive(Debug, Clone)]
 pub struct Claims {
     tx: mpsc::UnboundedSender<Input>,
@@ -119,71 +121,71 @@
 }
 
 impl Claims {
-    /// Starts the tasks that append and follow claims.
+    /// Starts the tasks that append claims and follow them in the log.
     #[must_use]
     pub fn start(shared: Arc<Shared>, log: Arc<dyn Log>) -> Self {
         let (tx, rx) = mpsc::unbounded_channel();
         let index = Arc::new(Mutex::new(ClaimIndex::default()));
-        let (folded_tx, folded) = watch::channel(None);
+        let (applied_tx, applied) = watch::channel(None);
         let poll = Duration::from_millis(shared.settings.times.log_poll_ms);
-        shared.spawn(follow(log.clone(), index.clone(), folded_tx, poll));
-        let task = Appender { shared: shared.clone(), log, index, folded };
+        shared.spawn(follow(log.clone(), index.clone(), applied_tx, poll));
+        let task = Appender { shared: shared.clone(), log, index, applied };
         shared.spawn(task.run(rx));
         Self { tx, next: Arc::new(AtomicU64::new(1)) }
     }
 
-    /// Claims a job for this entry; the number releases it.
+    /// Claims a job for this entry; returns the result and the number that releases the claim.
     pub async fn claim(&self, job: JobId) -> (Claimed, u64) {
         let (tx, rx) = oneshot::channel();
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let _ = self.tx.send(Input::Claim(job, number, tx));
-        let claimed = match tokio::time::timeout(PATIENCE, rx).await {
+        let claimed = match tokio::time::timeout(CLAIM_TIMEOUT, rx).await {
             Ok(Ok(claimed)) => claimed,
             Ok(Err(_)) | Err(_) => Claimed::Unavailable,
         };
         (claimed, number)
     }
 
-    /// Gives a claim back, since the job provably didn't run.
+    /// Releases a claim whose job provably didn't run.
     pub fn release(&self, job: JobId, number: u64) {
         let _ = self.tx.send(Input::Release(job, number));
     }
 }
 
-/// Reads new claims, and says how far it is.
+/// Polls the log for new claims and publishes the offset up to which they are applied.
 async fn follow(
     log: Arc<dyn Log>,
     index: Arc<Mutex<ClaimIndex>>,
-    folded: watch::Sender<Option<u64>>,
+    applied: watch::Sender<Option<u64>>,
     poll: Duration,
 ) {
     loop {
-        fold_new(&*log, &index, &folded).await;
+        apply_new(&*log, &index, &applied).await;
         tokio::time::sleep(poll).await;
     }
 }
 
-/// Folds every record that is there; returns whether the log answered.
-async fn fold_new(
+/// Applies every new record of the log; returns whether the log answered.
+async fn apply_new(
     log: &dyn Log,
     index: &Mutex<ClaimIndex>,
-    folded: &watch::Sender<Option<u64>>,
+    applied: &watch::Sender<Option<u64>>,
 ) -> bool {
     loop {
         let from = lock(index).next;
-        let Ok(page) = log.read(STREAM, from, PAGE).await else {
+        let Ok(page) = log.read(STREAM, from, MAX_PAGE_RECORDS).await else {
             return false;
         };
         let mut index = lock(index);
         for record in &page.records {
-            // The appender may have folded it meanwhile.
+            // The appender may have applied this record in the meantime.
             if record.offset >= index.next {
                 index.apply(record.offset, &record.data);
             }
         }
         let next = index.next;
         if next >= page.next || page.records.is_empty() {
-            folded.send_replace(Some(next));
+            applied.send_replace(Some(next));
             return true;
         }
     }
@@ -197,15 +199,15 @@
     shared: Arc<Shared>,
     log: Arc<dyn Log>,
     index: Arc<Mutex<ClaimIndex>>,
-    folded: watch::Receiver<Option<u64>>,
+    applied: watch::Receiver<Option<u64>>,
 }
 
 impl Appender {
     async fn run(self, mut rx: mpsc::UnboundedReceiver<Input>) {
         while let Some(first) = rx.recv().await {
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(BATCH_WINDOW).await;
             let mut batch = vec![first];
-            while batch.len() < BATCH
+            while batch.len() < MAX_BATCH
                 && let Ok(more) = rx.try_recv()
             {
                 batch.push(more);
@@ -216,8 +218,8 @@
 
     async fn append(&self, batch: Vec<Input>) {
         let entry = self.shared.incarnation;
-        // Until the claims that the log kept have been read once, nobody knows what is claimed.
-        if self.folded.borrow().is_none() {
+        // Until this entry has read all claims in the log once, it can't tell what is claimed.
+        if self.applied.borrow().is_none() {
             return answer_all(batch, Claimed::Unavailable);
         }
         let claims: Vec<Claim> = batch
@@ -238,12 +240,12 @@
         match self.log.append(STREAM, record).await {
             Ok(offset) => self.decide(batch, Some(offset), &own).await,
             Err(LogError::Refused(_)) => answer_all(batch, Claimed::Unavailable),
-            // It may be there: only reading tells.
+            // The append may have taken effect; only reading the log shows whether it did.
             Err(LogError::NoAnswer(_)) => self.decide(batch, None, &own).await,
         }
     }
 
-    /// Reads up to the own record and sees who was first.
+    /// Reads the log up to this entry's own record and answers each claim by which came first.
     async fn decide(&self, batch: Vec<Input>, offset: Option<u64>, own: &[u8]) {
         let seen = self.read_until(offset, own).await;
         for input in batch {
@@ -274,7 +276,7 @@
             if offset.is_some_and(|offset| from > offset) {
                 return true;
             }
-            if let Ok(page) = self.log.read(STREAM, from, PAGE).await {
+            if let Ok(page) = self.log.read(STREAM, from, MAX_PAGE_RECORDS).await {
                 let mut index = lock(&self.index);
                 let mut found = false;
                 for record in &page.records {
@@ -287,7 +289,7 @@
                     return true;
                 }
                 if offset.is_none() && index.next >= page.next {
-                    // Not there: the append took no effect, or still may.
+                    // The record isn't in the log: the append had no effect, or may still have one.
                     return false;
                 }
                 continue;
