--- a/crates/rampbay-entry/src/entry.rs
+++ b/crates/rampbay-entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! Puts an entry together and stops it.
+//! Starts, drains and stops an entry.
 
 use std::{io, net::SocketAddr, sync::Arc, sync::atomic::Ordering, time::Duration};
 
@@ -26,15 +26,15 @@
     membership, operators,
     settings::EntrySettings,
     shared::Shared,
-    table::{self, Followers},
+    table::{self, TableConsumers},
 };
 
-/// How often events are sent on to another entry.
-const SEND_EVENTS_EVERY: Duration = Duration::from_millis(250);
-/// Events that are sent on at once.
-const EVENTS_AT_ONCE: usize = 32;
-/// How often a stopping entry looks whether it is done.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+/// Interval at which events are forwarded to another entry.
+const FORWARD_EVENTS_INTERVAL: Duration = Duration::from_millis(250);
+/// Most events that are forwarded in one message.
+const MAX_EVENTS_PER_MESSAGE: usize = 32;
+/// Interval at which the entry checks whether a drain was requested or is complete.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why an entry can't start.
 #[derive(Debug, Error)]
@@ -44,9 +44,9 @@
     Listen(#[from] io::Error),
 }
 
-/// What the platform gives.
+/// Clients of the platform's services.
 #[derive(Clone)]
-pub struct PlatformBorders {
+pub struct PlatformClients {
     /// The log.
     pub log: Arc<dyn Log>,
     /// The list of boxes.
@@ -55,8 +55,8 @@
     pub workers: Arc<dyn Workers>,
 }
 
-impl PlatformBorders {
-    /// Meets the platform over HTTP.
+impl PlatformClients {
+    /// Creates clients that reach the platform over HTTP.
     #[must_use]
     pub fn http(addr: SocketAddr) -> Self {
         Self {
@@ -70,7 +70,7 @@
 /// The parts of a running entry that requests go through.
 #[derive(Clone)]
 pub struct Parts {
-    /// What all share.
+    /// The state that all parts share.
     pub shared: Arc<Shared>,
     /// The dispatcher.
     pub dispatching: Dispatching,
@@ -107,24 +107,24 @@
 }
 
 impl Entry {
-    /// Starts an entry that meets the platform over HTTP.
+    /// Starts an entry that reaches the platform over HTTP.
     ///
     /// # Errors
     ///
     /// Returns an error if an address can't be listened on.
     pub async fn start(settings: EntrySettings) -> Result<Self, EntryError> {
-        let borders = PlatformBorders::http(settings.platform);
-        Self::start_with(settings, borders).await
+        let clients = PlatformClients::http(settings.platform);
+        Self::start_with(settings, clients).await
     }
 
-    /// Starts an entry on any platform.
+    /// Starts an entry with any clients of a platform.
     ///
     /// # Errors
     ///
     /// As [`Entry::start`].
     pub async fn start_with(
         settings: EntrySettings,
-        borders: PlatformBorders,
+        clients: PlatformClients,
     ) -> Result<Self, EntryError> {
         let incarnation = draw_incarnation();
         let clock = Arc::new(Clock::new(incarnation));
@@ -135,21 +135,21 @@
         let shared = Arc::new(Shared::new(settings, incarnation, clock, post, counts));
         let parts = Parts {
             dispatching: Dispatching::start(shared.clone()),
-            gangs: Gangs::start(shared.clone(), borders.workers.clone()),
-            claims: Claims::start(shared.clone(), borders.log.clone()),
-            log: borders.log.clone(),
+            gangs: Gangs::start(shared.clone(), clients.workers.clone()),
+            claims: Claims::start(shared.clone(), clients.log.clone()),
+            log: clients.log.clone(),
             shared: shared.clone(),
         };
-        let followers =
-            Followers { dispatching: parts.dispatching.clone(), gangs: parts.gangs.clone() };
+        let consumers =
+            TableConsumers { dispatching: parts.dispatching.clone(), gangs: parts.gangs.clone() };
         let callers = Serving::start(shared.settings.callers, callers::router(&parts)).await?;
         let operators =
             Serving::start(shared.settings.operators, operators::router(&parts)).await?;
-        shared.spawn(receive(shared.clone(), mailbox, followers.clone()));
-        shared.spawn(table::follow(shared.clone(), borders.log, followers));
+        shared.spawn(receive(shared.clone(), mailbox, consumers.clone()));
+        shared.spawn(table::follow(shared.clone(), clients.log, consumers));
         let dispatching = parts.dispatching.clone();
-        shared.spawn(membership::follow(shared.clone(), borders.boxes, dispatching));
-        shared.spawn(send_events(shared.clone()));
+        shared.spawn(membership::follow(shared.clone(), clients.boxes, dispatching));
+        shared.spawn(forward_events_periodically(shared.clone()));
         shared.event(Code::ProcessStarted, None, None, format!("incarnation {incarnation:x}"));
         Ok(Self { parts, callers, operators, mailbox: addr })
     }
@@ -184,10 +184,10 @@
         &self.parts
     }
 
-    /// Waits until somebody asks the entry to stop.
+    /// Waits until the entry is draining, for example after an operator's drain request.
     pub async fn asked_to_stop(&self) {
         while !self.parts.shared.is_draining() {
-            tokio::time::sleep(DRAIN_LOOK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
@@ -197,48 +197,48 @@
         let shared = self.parts.shared.clone();
         let until = shared.now() + longest;
         while shared.jobs.open_count() > 0 && shared.now() < until {
-            tokio::time::sleep(DRAIN_LOOK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         self.callers.drain(longest).await;
         shared.event(Code::ProcessDrained, None, None, "");
-        hand_events_on(&shared);
-        // Give the link the time to pass the last events on.
-        tokio::time::sleep(DRAIN_LOOK).await;
+        forward_events(&shared);
+        // Gives the link time to send the last events.
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
 
-    /// Ends the entry at once, as a crash does.
+    /// Stops the entry at once without a drain, as a crash would.
     pub fn kill(self) {
         drop(self);
     }
 }
 
-async fn receive(shared: Arc<Shared>, mut mailbox: Mailbox, followers: Followers) {
+async fn receive(shared: Arc<Shared>, mut mailbox: Mailbox, consumers: TableConsumers) {
     while let Some(envelope) = mailbox.next().await {
         let Envelope { reply_to, .. } = envelope;
         match envelope.message {
             Message::Events(events) => shared.timeline.absorb(events),
             Message::TableQuery { have } => table::answer_query(&shared, reply_to, have),
-            Message::Table(record) => table::take_from_peer(&shared, &followers, &record),
+            Message::Table(record) => table::take_from_peer(&shared, &consumers, &record),
             Message::Hello => {}
-            _ => followers.dispatching.tell(Input::Link(Box::new(envelope))),
+            _ => consumers.dispatching.tell(Input::Link(Box::new(envelope))),
         }
     }
 }
 
-/// Sends events on to one other entry, so that they outlive this box.
-async fn send_events(shared: Arc<Shared>) {
+/// Forwards events to one other entry, so that they survive the loss of this box.
+async fn forward_events_periodically(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(SEND_EVENTS_EVERY).await;
-        hand_events_on(&shared);
+        tokio::time::sleep(FORWARD_EVENTS_INTERVAL).await;
+        forward_events(&shared);
     }
 }
 
-fn hand_events_on(shared: &Shared) {
+fn forward_events(shared: &Shared) {
     let peers = shared.peers();
     let Some((_, addr)) = peers.first() else {
         return;
     };
-    let events = shared.timeline.take_unsent(EVENTS_AT_ONCE);
+    let events = shared.timeline.take_unsent(MAX_EVENTS_PER_MESSAGE);
     if !events.is_empty() {
         shared.post.send(*addr, Message::Events(events));
     }
--- a/crates/rampbay-entry/src/lib.rs
+++ b/crates/rampbay-entry/src/lib.rs
@@ -1,18 +1,18 @@
 //! The entry process: it admits requests, plans gangs, dispatches work and answers.
 //!
-//! All its state is soft: what runs is recorded by the workers' leases, what started by the side
-//! processes, and the table and the claims by the log.
+//! An entry keeps only soft state: the workers' leases record what runs, the side processes record
+//! which attempts were started, and the log holds the table and the claims.
 //!
-//! A request's way, with the module that has each step:
+//! The steps of a request, each with its module:
 //!
 //! 1. [`callers`] reads and checks it, and [`jobs`] keeps its record;
 //! 2. [`claims`] claims work that must run at most once, in the log;
-//! 3. [`gangs`] gets its gang of devices, as [`rampbay_core::plan`] decides;
+//! 3. [`gangs`] acquires its gang of devices, as [`rampbay_core::plan`] decides;
 //! 4. [`dispatching`] sends it to an upstream, as [`rampbay_dispatch::dispatcher`] decides;
-//! 5. [`lifecycle`] puts these together and settles the one outcome.
+//! 5. [`lifecycle`] runs steps 2 to 4 and settles the request's single outcome.
 //!
-//! Beside it, [`table`] follows the table in the log, [`membership`] follows the list of boxes,
-//! and [`operators`] serves the operators.
+//! Besides, [`table`] follows the table in the log, [`membership`] follows the list of boxes, and
+//! [`operators`] serves the operators.
 
 pub mod callers;
 pub mod claims;
--- a/crates/rampbay-entry/src/main.rs
+++ b/crates/rampbay-entry/src/main.rs
@@ -7,7 +7,7 @@
 use rampbay_node::{logs, settings};
 
 /// Longest wait for requests in progress at a planned stop.
-const DRAIN: Duration = Duration::from_secs(24 * 3_600);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(24 * 3_600);
 
 /// Runs an entry of rampbay.
 #[derive(FromArgs)]
@@ -48,6 +48,6 @@
         _ = tokio::signal::ctrl_c() => {}
         () = entry.asked_to_stop() => {}
     }
-    entry.drain(DRAIN).await;
+    entry.drain(DRAIN_TIMEOUT).await;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/rampbay-entry/src/table.rs
+++ b/crates/rampbay-entry/src/table.rs
@@ -1,4 +1,7 @@
-//! Follows the table in the log, publishes edits, and keeps the table when the log is down.
+//! Follows the table in the log and publishes edits.
+//!
+//! While the log can't be reached, the accepted table stays in force, and peers are asked for a
+//! newer one.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -18,11 +21,11 @@
     shared::Shared,
 };
 
-/// The stream that the table goes to.
+/// The log stream that holds the table.
 pub const STREAM: &str = "table";
-/// Records read at once.
-const PAGE: usize = 500;
-/// Reads without an answer after which peers are asked.
+/// Most records in one read of the log.
+const MAX_PAGE_RECORDS: usize = 500;
+/// Failed reads in a row after which peers are asked for the table.
 const ASK_PEERS_AFTER: u32 = 2;
 
 /// Why an edit isn't in force.
@@ -31,33 +34,34 @@
     /// A knob is out of its range, or the fleet can't hold the guarantees.
     #[error("{0}")]
     Invalid(String),
-    /// A row had changed after the editor saw it.
+    /// A row had changed after the version that the edit is based on.
     #[error("the edit came too late: {why}")]
     Late {
         /// What had changed.
         why: String,
     },
-    /// The log can't be reached; the edit isn't there.
+    /// The log can't be reached or refused the edit; nothing was appended.
     #[error("the log can't be reached, nothing was published: {0}")]
     Unavailable(String),
-    /// No answer came, and the log can't be read either: the edit may come into force.
+    /// The edit wasn't found in the log in time, for example because the log can't be read; it may
+    /// still come into force.
     #[error("the log gave no answer; ask for the edit's fate later under its id")]
     Unknown,
 }
 
-/// What the follower hands the table to.
+/// The parts of the entry that receive each accepted table.
 #[derive(Debug, Clone)]
-pub struct Followers {
+pub struct TableConsumers {
     /// The dispatcher.
     pub dispatching: Dispatching,
     /// The planner.
     pub gangs: Gangs,
 }
 
-/// Follows the log, until the process ends.
-pub async fn follow(shared: Arc<Shared>, log: Arc<dyn Log>, followers: Followers) {
+/// Follows the table in the log until the process ends.
+pub async fn follow(shared: Arc<Shared>, log: Arc<dyn Log>, consumers: TableConsumers) {
     let poll = Duration::from_millis(shared.settings.times.log_poll_ms);
-    let mut follower = Follower { shared, log, followers, cursor: 0, failures: 0 };
+    let mut follower = Follower { shared, log, consumers, cursor: 0, failures: 0 };
     loop {
         let more = follower.read().await;
         if !more {
@@ -69,22 +73,22 @@
 struct Follower {
     shared: Arc<Shared>,
     log: Arc<dyn Log>,
-    followers: Followers,
+    consumers: TableConsumers,
     cursor: u64,
     failures: u32,
 }
 
 impl Follower {
-    /// Reads one page; returns whether there is more.
+    /// Reads one page; returns whether to read the next one at once.
     async fn read(&mut self) -> bool {
         self.cursor = self.cursor.max(self.shared.table().next_offset());
-        match self.log.read(STREAM, self.cursor, PAGE).await {
+        match self.log.read(STREAM, self.cursor, MAX_PAGE_RECORDS).await {
             Ok(page) => {
                 if self.failures >= ASK_PEERS_AFTER {
                     self.shared.event(Code::LogUp, None, None, "");
                 }
                 self.failures = 0;
-                self.fold(page).await
+                self.apply_page(page).await
             }
             Err(e) => {
                 self.failures += 1;
@@ -106,21 +110,21 @@
         }
     }
 
-    async fn fold(&mut self, page: LogPage) -> bool {
+    async fn apply_page(&mut self, page: LogPage) -> bool {
         let mut changed = false;
         for record in &page.records {
             self.cursor = record.offset + 1;
             let applied = self.shared.table_mut().apply(record.offset, &record.data);
-            changed |= self.note(record.offset, &applied);
+            changed |= self.record_event(record.offset, &applied);
             if matches!(applied, Applied::Snapshot { taken: true }) {
-                // What came between the snapshot's base and the snapshot is folded now.
+                // The records between the snapshot's base and the snapshot are applied next.
                 self.cursor = self.shared.table().next_offset();
-                hand_over(&self.shared, &self.followers);
+                distribute_table(&self.shared, &self.consumers);
                 return true;
             }
         }
         if changed {
-            hand_over(&self.shared, &self.followers);
+            distribute_table(&self.shared, &self.consumers);
         }
         let caught_up = self.cursor >= page.next;
         if caught_up && self.shared.table().snapshot_due(page.oldest) {
@@ -129,8 +133,8 @@
         !caught_up && !page.records.is_empty()
     }
 
-    /// Records what a log record did; returns whether the table changed.
-    fn note(&self, offset: u64, applied: &Applied) -> bool {
+    /// Records the event of an applied log record; returns whether the table changed.
+    fn record_event(&self, offset: u64, applied: &Applied) -> bool {
         match applied {
             Applied::Accepted { version, edit } => {
                 let detail = format!("version {version} by {} ({})", edit.by, edit.edit);
@@ -152,7 +156,10 @@
         }
     }
 
-    /// Two entries may both write one: a snapshot says only what the log said already.
+    /// Writes a snapshot of the table to the log.
+    ///
+    /// Two entries may both write one, which does no harm: a snapshot contains only what the log
+    /// contained already.
     async fn write_snapshot(&self) {
         let record = Record::Snapshot(self.shared.table().snapshot()).encode();
         if let Ok(offset) = self.log.append(STREAM, record).await {
@@ -161,8 +168,8 @@
     }
 }
 
-/// Hands the accepted table to the dispatcher and the planner.
-pub fn hand_over(shared: &Shared, followers: &Followers) {
+/// Passes the accepted table on to the dispatcher and the planner.
+pub fn distribute_table(shared: &Shared, consumers: &TableConsumers) {
     let (version, rows) = {
         let table = shared.table();
         let rows: BTreeMap<WorkspaceId, Knobs> =
@@ -177,13 +184,13 @@
         };
         (name.clone(), limits)
     });
-    followers.dispatching.tell(DispatchInput::Limits(limits.collect()));
-    followers.gangs.tell(GangInput::Table(rows));
+    consumers.dispatching.tell(DispatchInput::Limits(limits.collect()));
+    consumers.gangs.tell(GangInput::Table(rows));
     let version = i64::try_from(version).unwrap_or(i64::MAX);
     shared.metrics.table_version.get_or_create(&Vec::new()).set(version);
 }
 
-/// Answers a peer that asks for a newer table.
+/// Answers a peer that asks for a table newer than version `have`.
 pub fn answer_query(shared: &Shared, to: std::net::SocketAddr, have: u64) {
     let table = shared.table();
     if table.version() > have {
@@ -192,8 +199,8 @@
     }
 }
 
-/// Takes a peer's table if it is newer.
-pub fn take_from_peer(shared: &Shared, followers: &Followers, record: &[u8]) {
+/// Takes over a peer's table if it is newer.
+pub fn take_from_peer(shared: &Shared, consumers: &TableConsumers, record: &[u8]) {
     let Ok(Record::Snapshot(snapshot)) = Record::decode(record) else {
         return;
     };
@@ -201,13 +208,14 @@
     if taken {
         let detail = format!("version {}", snapshot.version);
         shared.event(Code::TableFromPeer, None, None, detail);
-        hand_over(shared, followers);
+        distribute_table(shared, consumers);
     }
 }
 
-/// Publishes an edit and waits until its fate is known.
+/// Publishes an edit and waits until the log shows whether it is in force.
 ///
-/// A lost answer is settled by reading for the edit's id, never by appending blindly.
+/// If the answer to the append is lost, the edit is looked up in the log by its id and never
+/// appended a second time.
 ///
 /// # Errors
 ///
@@ -225,8 +233,8 @@
         Ok(_) | Err(LogError::NoAnswer(_)) => {}
         Err(LogError::Refused(why)) => return Err(PublishError::Unavailable(why)),
     }
-    let fate = await_fate(shared, &id).await;
-    match fate {
+    let outcome = await_edit_outcome(shared, &id).await;
+    match outcome {
         Some(row) => match &row.void {
             None => Ok(row),
             Some(why) => Err(PublishError::Late { why: why.clone() }),
@@ -259,16 +267,16 @@
     }
 }
 
-async fn await_fate(shared: &Shared, edit: &str) -> Option<HistoryRow> {
-    const PATIENCE: Duration = Duration::from_secs(6);
-    const LOOK_EVERY: Duration = Duration::from_millis(10);
-    let until = shared.now() + PATIENCE;
+async fn await_edit_outcome(shared: &Shared, edit: &str) -> Option<HistoryRow> {
+    const TIMEOUT: Duration = Duration::from_secs(6);
+    const POLL_INTERVAL: Duration = Duration::from_millis(10);
+    let until = shared.now() + TIMEOUT;
     while shared.now() < until {
-        let fate = shared.table().fate(edit).cloned();
-        if fate.is_some() {
-            return fate;
+        let outcome = shared.table().fate(edit).cloned();
+        if outcome.is_some() {
+            return outcome;
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     None
 }
