--- a/crates/rampbay-entry/src/lifecycle.rs
+++ b/crates/rampbay-entry/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A request's way from its arrival to its one outcome.
+//! Runs a request from its arrival to its single outcome.
 
 use std::time::Duration;
 
@@ -17,30 +17,30 @@
     jobs::JobKey,
 };
 
-/// Returns the name of a request within rampbay: ids are the callers' own, so that two workspaces
-/// may use the same.
+/// Returns the id of a request within rampbay, `workspace/id`: callers choose their ids, so two
+/// workspaces may use the same one.
 #[must_use]
-pub fn inner_id(key: &JobKey) -> JobId {
+pub fn qualified_id(key: &JobKey) -> JobId {
     format!("{}/{}", key.0, key.1).into()
 }
 
-/// Tells when a request is to be cancelled.
+/// Signals that a request is to be cancelled.
 type Cancelled = watch::Receiver<bool>;
 
-/// Runs a request that was taken in, and settles its outcome.
+/// Runs a request that was admitted, and settles its outcome.
 pub async fn run(parts: Parts, spec: JobSpec, body: Bytes, mut cancelled: Cancelled) {
     let shared = &parts.shared;
     let key = (spec.workspace.clone(), spec.id.clone());
     let arrived = shared.now();
-    let inner = JobSpec { id: inner_id(&key), ..spec };
+    let inner = JobSpec { id: qualified_id(&key), ..spec };
     shared.event(Code::JobReceived, Some(&inner.id), Some(&inner.workspace), "");
-    let outcome = within_claim(&parts, &inner, body, arrived, &mut cancelled).await;
+    let outcome = run_claimed(&parts, &inner, body, arrived, &mut cancelled).await;
     let took = shared.now().saturating_sub(arrived);
-    record(&parts, &inner, &outcome, took);
+    record_outcome(&parts, &inner, &outcome, took);
     shared.jobs.settle(&key, outcome, shared.now());
 }
 
-fn record(parts: &Parts, spec: &JobSpec, outcome: &Outcome, took: Duration) {
+fn record_outcome(parts: &Parts, spec: &JobSpec, outcome: &Outcome, took: Duration) {
     let shared = &parts.shared;
     let reason = reason_code(outcome);
     let code = match outcome {
@@ -67,8 +67,8 @@
     value.ok().and_then(|value| value.as_str().map(str::to_owned)).unwrap_or_default()
 }
 
-/// Claims work that must run at most once before anything of it is sent.
-async fn within_claim(
+/// Runs a request; work that must run at most once is claimed before any attempt of it is sent.
+async fn run_claimed(
     parts: &Parts,
     spec: &JobSpec,
     body: Bytes,
@@ -76,7 +76,7 @@
     cancelled: &mut Cancelled,
 ) -> Outcome {
     if spec.repeatable {
-        return within_gang(parts, spec, body, arrived, cancelled).await;
+        return run_with_gang(parts, spec, body, arrived, cancelled).await;
     }
     let claims: &Claims = &parts.claims;
     let (claimed, number) = claims.claim(spec.id.clone()).await;
@@ -88,15 +88,18 @@
             return Outcome::NotRun(NotRun::ClaimUnavailable);
         }
     }
-    let outcome = within_gang(parts, spec, body, arrived, cancelled).await;
+    let outcome = run_with_gang(parts, spec, body, arrived, cancelled).await;
     if matches!(outcome, Outcome::NotRun(_)) {
         claims.release(spec.id.clone(), number);
     }
     outcome
 }
 
-/// Gets the gang that a request needs, and gives it back when the work is done.
-async fn within_gang(
+/// Runs a request on the gang that it needs, if any, and releases the gang when the work is done.
+///
+/// If the gang is lost before the work is answered, the request waits for another gang, unless its
+/// work may have run and must not be repeated.
+async fn run_with_gang(
     parts: &Parts,
     spec: &JobSpec,
     body: Bytes,
@@ -108,39 +111,39 @@
     }
     let mut gang = parts.gangs.acquire(spec.clone());
     let mut may_have_run = false;
-    // Once an attempt of it may have run, the request can't end as not run any more.
+    // Once an attempt of the request may have run, the request must not end as not run.
     let not_run = |why, may_have_run| {
         if may_have_run { Outcome::Unknown(Unknown::GangLost) } else { Outcome::NotRun(why) }
     };
     loop {
         let event = tokio::select! {
             event = gang.next() => event,
-            () = is_cancelled(cancelled) => return not_run(NotRun::Cancelled, may_have_run),
+            () = until_cancelled(cancelled) => return not_run(NotRun::Cancelled, may_have_run),
         };
         match event {
             Some(GangEvent::Started { .. }) => {}
-            Some(GangEvent::Refused(e)) => return not_run(refusal(&e), may_have_run),
+            Some(GangEvent::Refused(e)) => return not_run(refusal_reason(&e), may_have_run),
             Some(GangEvent::Expired) => return not_run(NotRun::NotPlaced, may_have_run),
             Some(GangEvent::Interrupted) => continue,
             None => return not_run(NotRun::Stopping, may_have_run),
         }
-        let Some(left) = with_time_left(parts, spec, arrived) else {
+        let Some(remaining) = with_remaining_deadline(parts, spec, arrived) else {
             return not_run(NotRun::Expired, may_have_run);
         };
-        match on_gang(&parts.dispatching, &mut gang, left, body.clone(), cancelled).await {
-            OnGang::Ended(Outcome::NotRun(why)) => return not_run(why, may_have_run),
-            OnGang::Ended(outcome) => return outcome,
-            OnGang::Interrupted(Outcome::Unknown(_)) if !spec.repeatable => {
+        match run_on_gang(&parts.dispatching, &mut gang, remaining, body.clone(), cancelled).await {
+            GangRun::Ended(Outcome::NotRun(why)) => return not_run(why, may_have_run),
+            GangRun::Ended(outcome) => return outcome,
+            GangRun::Interrupted(Outcome::Unknown(_)) if !spec.repeatable => {
                 return Outcome::Unknown(Unknown::GangLost);
             }
-            OnGang::Interrupted(Outcome::Answered(answer)) => return Outcome::Answered(answer),
-            OnGang::Interrupted(Outcome::Unknown(_)) => may_have_run = true,
-            OnGang::Interrupted(Outcome::NotRun(_)) => {}
+            GangRun::Interrupted(Outcome::Answered(answer)) => return Outcome::Answered(answer),
+            GangRun::Interrupted(Outcome::Unknown(_)) => may_have_run = true,
+            GangRun::Interrupted(Outcome::NotRun(_)) => {}
         }
     }
 }
 
-fn refusal(e: &SubmitError) -> NotRun {
+fn refusal_reason(e: &SubmitError) -> NotRun {
     match e {
         SubmitError::QueueFull { .. } | SubmitError::UrgentFull { .. } => NotRun::QueueFull,
         SubmitError::BeyondGuarantee { .. } => NotRun::BeyondGuarantee,
@@ -148,25 +151,29 @@
     }
 }
 
-/// Returns the request with the time that its caller still waits.
-fn with_time_left(parts: &Parts, spec: &JobSpec, arrived: Duration) -> Option<JobSpec> {
-    let mut left = spec.clone();
+/// Returns the request with its deadline reduced by the time since its arrival, or `None` if its
+/// deadline has passed.
+fn with_remaining_deadline(parts: &Parts, spec: &JobSpec, arrived: Duration) -> Option<JobSpec> {
+    let mut remaining = spec.clone();
     if let Some(deadline) = spec.deadline_ms {
         let passed = parts.shared.now().saturating_sub(arrived).as_millis();
         let passed = u64::try_from(passed).unwrap_or(u64::MAX);
-        left.deadline_ms = Some(deadline.checked_sub(passed).filter(|left| *left > 0)?);
+        remaining.deadline_ms =
+            Some(deadline.checked_sub(passed).filter(|remaining| *remaining > 0)?);
     }
-    Some(left)
+    Some(remaining)
 }
 
-/// Waits until a request is cancelled; for ever if it never is.
-async fn is_cancelled(cancelled: &mut Cancelled) {
+/// Waits until a request is cancelled, forever if that never happens.
+async fn until_cancelled(cancelled: &mut Cancelled) {
     if cancelled.wait_for(|cancelled| *cancelled).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// Sends the work to an upstream; a cancel stops it, and its outcome still says what ran.
+/// Sends the work to an upstream and returns its outcome.
+///
+/// A cancel stops the work; the outcome still tells whether it may have run.
 async fn dispatch(
     dispatching: &Dispatching,
     spec: JobSpec,
@@ -178,35 +185,37 @@
     tokio::pin!(work);
     tokio::select! {
         outcome = &mut work => return outcome,
-        () = is_cancelled(cancelled) => dispatching.tell(Input::Cancel(job)),
+        () = until_cancelled(cancelled) => dispatching.tell(Input::Cancel(job)),
     }
     work.await
 }
 
-enum OnGang {
+/// How a run on a gang ended.
+enum GangRun {
+    /// The work ended before the gang was lost.
     Ended(Outcome),
-    /// The gang was lost meanwhile; what became of the attempt.
+    /// The gang was lost in the meantime; holds the outcome of the cancelled work.
     Interrupted(Outcome),
 }
 
-/// Runs the work while its gang holds; when the gang is lost, the work is cancelled.
-async fn on_gang(
+/// Runs the work on its gang; cancels the work if the gang is lost.
+async fn run_on_gang(
     dispatching: &Dispatching,
     gang: &mut GangGuard,
     spec: JobSpec,
     body: Bytes,
     cancelled: &mut Cancelled,
-) -> OnGang {
+) -> GangRun {
     let job = spec.id.clone();
     let work = dispatch(dispatching, spec, body, cancelled);
     tokio::pin!(work);
     loop {
         tokio::select! {
-            outcome = &mut work => return OnGang::Ended(outcome),
+            outcome = &mut work => return GangRun::Ended(outcome),
             event = gang.next() => {
                 if matches!(event, Some(GangEvent::Interrupted) | None) {
                     dispatching.tell(Input::Cancel(job));
-                    return OnGang::Interrupted(work.await);
+                    return GangRun::Interrupted(work.await);
                 }
             }
         }
--- a/crates/rampbay-entry/src/membership.rs
+++ b/crates/rampbay-entry/src/membership.rs
@@ -1,8 +1,9 @@
-//! Who is there: the platform's list, which lags, merged with what processes say of themselves.
+//! Membership: the platform's list of boxes, which lags, merged with the processes' own reports.
 //!
-//! A side process takes part once it is listed and speaks. It gets no new work as soon as it says
-//! that it leaves, or the list says so, or it falls silent; whichever comes first. Its word goes
-//! before the list's in one direction only: it may leave earlier, never stay longer.
+//! A side process gets work once it is listed and reports its load. It gets no new work once it
+//! reports that it is leaving, the list marks it as leaving, or its reports stop, whichever comes
+//! first. Its own report overrides the list in one direction only: it may leave earlier than the
+//! list says, never stay longer.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,27 +15,27 @@
     shared::Shared,
 };
 
-/// How often other processes are told that this entry is there.
-const HELLO_EVERY: Duration = Duration::from_secs(2);
+/// Interval of the hello messages that announce this entry to other processes.
+const HELLO_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Follows the list, until the process ends.
+/// Follows the list of boxes until the process ends.
 pub async fn follow(shared: Arc<Shared>, boxes: Arc<dyn Boxes>, dispatching: Dispatching) {
     let poll = Duration::from_millis(shared.settings.times.boxes_poll_ms);
     let mut known: Vec<BoxRow> = Vec::new();
-    let mut talks_to: Vec<BoxRow> = Vec::new();
-    let mut greeted = None;
+    let mut contacts: Vec<BoxRow> = Vec::new();
+    let mut last_hello = None;
     loop {
-        // While the list can't be read, what was last known of it stands.
+        // While the list can't be read, the last one that was read stays in use.
         if let Ok(rows) = boxes.list().await
             && rows != known
         {
-            greeted = None;
-            talks_to = take(&shared, &dispatching, &rows);
+            last_hello = None;
+            contacts = apply_list(&shared, &dispatching, &rows);
             known = rows;
         }
-        if greeted.is_none_or(|at| shared.now().saturating_sub(at) >= HELLO_EVERY) {
-            greeted = Some(shared.now());
-            for row in talks_to.iter().filter(|row| row.id != shared.settings.id) {
+        if last_hello.is_none_or(|at| shared.now().saturating_sub(at) >= HELLO_INTERVAL) {
+            last_hello = Some(shared.now());
+            for row in contacts.iter().filter(|row| row.id != shared.settings.id) {
                 shared.post.send(row.mailbox, Message::Hello);
             }
         }
@@ -42,10 +43,16 @@
     }
 }
 
-/// Chooses the side processes that an entry talks to: those of its own failure domain first, and
-/// among equals the highest hashes (rendezvous hashing), so that a change of the list moves few.
+/// Selects at most `limit` side processes that an entry sends work to: those of its own failure
+/// domain first, and among equals those with the highest hashes (rendezvous hashing), so that a
+/// change of the list changes few of them.
 #[must_use]
-pub fn subset(entry: &str, failure_domain: &str, rows: &[BoxRow], most: usize) -> Vec<BoxRow> {
+pub fn select_sides(
+    entry: &str,
+    failure_domain: &str,
+    rows: &[BoxRow],
+    limit: usize,
+) -> Vec<BoxRow> {
     let mut sides: Vec<(bool, u64, &BoxRow)> = rows
         .iter()
         .filter(|row| row.role == Role::Side)
@@ -56,19 +63,20 @@
         })
         .collect();
     sides.sort_by_key(|(elsewhere, weight, _)| (*elsewhere, *weight));
-    sides.into_iter().take(most).map(|(_, _, row)| row.clone()).collect()
+    sides.into_iter().take(limit).map(|(_, _, row)| row.clone()).collect()
 }
 
-fn take(shared: &Shared, dispatching: &Dispatching, rows: &[BoxRow]) -> Vec<BoxRow> {
+fn apply_list(shared: &Shared, dispatching: &Dispatching, rows: &[BoxRow]) -> Vec<BoxRow> {
     let settings = &shared.settings;
-    let sides = subset(&settings.id, &settings.failure_domain, rows, settings.limits.upstreams);
+    let sides =
+        select_sides(&settings.id, &settings.failure_domain, rows, settings.limits.upstreams);
     let others = rows.iter().filter(|row| row.role == Role::Entry && row.id != shared.settings.id);
     let peers = others.map(|row| (row.id.clone(), row.mailbox)).collect();
     *shared.peers.write().unwrap_or_else(std::sync::PoisonError::into_inner) = peers;
     let entries = rows.iter().filter(|row| row.role == Role::Entry);
-    let talks_to: Vec<BoxRow> = sides.iter().chain(entries).cloned().collect();
-    let keep: Vec<_> = talks_to.iter().map(|row| row.mailbox).collect();
+    let contacts: Vec<BoxRow> = sides.iter().chain(entries).cloned().collect();
+    let keep: Vec<_> = contacts.iter().map(|row| row.mailbox).collect();
     shared.post.retain(&keep);
     dispatching.tell(Input::Listed(sides));
-    talks_to
+    contacts
 }
--- a/crates/rampbay-entry/src/operators.rs
+++ b/crates/rampbay-entry/src/operators.rs
@@ -16,7 +16,7 @@
     gangs::Input as GangInput,
     jobs::JobKey,
     keys::Access,
-    lifecycle::inner_id,
+    lifecycle::qualified_id,
     table::{PublishError, publish},
 };
 
@@ -27,11 +27,11 @@
 /// The table as operators see it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TableView {
-    /// Its version.
+    /// The table's version.
     pub version: u64,
-    /// Its rows with the version of each row's last change.
+    /// The table's rows, with the version of each row's last change.
     pub rows: std::collections::BTreeMap<WorkspaceId, VersionedRow>,
-    /// Records that were skipped.
+    /// Number of log records that were skipped.
     pub skipped: u64,
 }
 
@@ -42,28 +42,28 @@
     pub job: String,
     /// The stable code of the reason.
     pub reason: String,
-    /// The same for people.
+    /// The reason in words, for people.
     pub text: String,
-    /// Time since it arrived, in milliseconds; 0 if the planner doesn't know it.
+    /// Time since the job arrived, in milliseconds; 0 if the planner doesn't have it.
     pub age_ms: u64,
-    /// Time that it has waited, in milliseconds.
+    /// Time since the job last began to wait, in milliseconds; 0 if it isn't waiting.
     pub waiting_ms: u64,
-    /// Jobs of its kind that go first.
+    /// Jobs with the same demand that are ahead in the queue.
     pub ahead: u32,
 }
 
-/// Health of an entry.
+/// The health of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthView {
-    /// The entry.
+    /// The entry's id.
     pub id: String,
-    /// Whether it takes requests.
+    /// Whether the entry has a table and takes requests.
     pub ready: bool,
     /// The table's version.
     pub table_version: u64,
     /// Requests without an outcome.
     pub open: usize,
-    /// Messages and bytes that it sent, by kind.
+    /// The number and the bytes of the messages that the entry sent, by kind.
     pub link: Vec<(String, u64, u64)>,
 }
 
@@ -226,7 +226,7 @@
 
 /// Explains the state of a request that has no outcome yet.
 pub async fn explain(parts: &Parts, key: &JobKey) -> ExplainView {
-    let job = inner_id(key);
+    let job = qualified_id(key);
     let asked = job.clone();
     let planned = parts.gangs.ask(|tx| GangInput::Explain(asked, tx)).await.flatten();
     let millis = |time: std::time::Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
@@ -263,7 +263,8 @@
     render_json(res, StatusCode::OK, &explain(parts, &key).await);
 }
 
-/// Returns the events of a job, a workspace, a process or a span, in order.
+/// Returns the events that match the query's job, workspace, process, text and start time, in
+/// order; beyond [`MAX_EVENTS`] the oldest are left out.
 fn timeline(parts: &Parts, req: &mut Request, res: &mut Response) {
     let job = req.query::<String>("job");
     let workspace = req.query::<String>("workspace");
