--- a/crates/rampbay-entry/src/dispatching.rs
+++ b/crates/rampbay-entry/src/dispatching.rs
@@ -1,4 +1,4 @@
-//! Runs the dispatcher: one task that owns it, fed through a channel.
+//! Runs the dispatcher in a task that owns it and receives its inputs through a channel.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -21,22 +21,22 @@
 
 use crate::shared::Shared;
 
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the task is told.
+/// The inputs of the dispatcher task.
 #[derive(Debug)]
 pub enum Input {
     /// A request is to be sent to an upstream.
     Submit(Box<JobSpec>, Bytes, oneshot::Sender<Outcome>),
-    /// Nothing of a request is to start any more.
+    /// A request is cancelled: no attempt of it may start any more.
     Cancel(JobId),
-    /// A message of a side process.
+    /// A message arrived from a side process.
     Link(Box<Envelope>),
-    /// The list of side processes.
+    /// The list of side processes has changed.
     Listed(Vec<BoxRow>),
-    /// The limits of all workspaces.
+    /// The limits of all workspaces, from the accepted table.
     Limits(HashMap<WorkspaceId, Limits>),
-    /// Somebody wants to see the side processes.
+    /// Asks for a view of the side processes.
     View(oneshot::Sender<Vec<UpstreamView>>),
 }
 
@@ -47,28 +47,28 @@
     pub id: ProcessId,
     /// Its failure domain.
     pub failure_domain: String,
-    /// Slots.
+    /// Slots of the upstream.
     pub slots: u32,
     /// Slots in use.
     pub used: u32,
-    /// Attempts that wait.
+    /// Attempts that wait for a slot.
     pub waiting: u32,
     /// Whether it takes no new work.
     pub leaving: bool,
-    /// Time since it was last heard, in milliseconds.
+    /// Time since its last report, in milliseconds.
     pub silent_ms: u64,
-    /// Attempts of this entry that are on their way.
+    /// Attempts of this entry that have no result yet.
     pub outstanding: u32,
 }
 
-/// The sending end of the task's channel.
+/// A handle to the dispatcher task.
 #[derive(Debug, Clone)]
 pub struct Dispatching {
     tx: mpsc::UnboundedSender<Input>,
 }
 
 impl Dispatching {
-    /// Starts the task.
+    /// Starts the dispatcher task.
     #[must_use]
     pub fn start(shared: Arc<Shared>) -> Self {
         let (tx, rx) = mpsc::unbounded_channel();
@@ -89,7 +89,7 @@
         Self { tx }
     }
 
-    /// Tells the task something; it is only gone when the process ends.
+    /// Sends an input to the task. A failure is ignored, since the task ends only with the entry.
     pub fn tell(&self, input: Input) {
         let _ = self.tx.send(input);
     }
@@ -101,7 +101,7 @@
         let (tx, rx) = oneshot::channel();
         let mut guard = CancelGuard { dispatching: self, job: Some(spec.id.clone()) };
         self.tell(Input::Submit(Box::new(spec), body, tx));
-        // Were the task to end, nobody would know what became of an attempt that was sent.
+        // If the task has ended, it isn't known whether an attempt that was sent has run.
         let outcome = rx.await.unwrap_or(Outcome::Unknown(Unknown::SideUnreachable));
         guard.job = None;
         outcome
@@ -115,7 +115,7 @@
     }
 }
 
-/// Cancels a request whose caller has gone.
+/// Cancels the request on drop, unless its outcome is known.
 struct CancelGuard<'a> {
     dispatching: &'a Dispatching,
     job: Option<JobId>,
@@ -138,30 +138,30 @@
 
 impl Task {
     async fn run(mut self, mut rx: mpsc::UnboundedReceiver<Input>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 input = rx.recv() => {
                     let Some(input) = input else { return };
-                    self.take(input);
+                    self.handle(input);
                 }
                 _ = ticks.tick() => {
                     let actions = self.dispatcher.tick(self.shared.now());
-                    self.act(actions);
-                    self.show();
+                    self.execute(actions);
+                    self.update_metrics();
                 }
             }
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let now = self.shared.now();
         match input {
             Input::Submit(spec, body, tx) => self.submit(*spec, body, tx, now),
             Input::Cancel(job) => {
                 let actions = self.dispatcher.cancel(&job, now);
-                self.act(actions);
+                self.execute(actions);
             }
             Input::Link(envelope) => self.receive(*envelope, now),
             Input::Listed(rows) => self.listed(&rows, now),
@@ -177,7 +177,7 @@
         match self.dispatcher.submit(spec, body, now) {
             Ok(actions) => {
                 self.callers.insert(job, tx);
-                self.act(actions);
+                self.execute(actions);
             }
             Err(why) => {
                 let _ = tx.send(Outcome::NotRun(why));
@@ -196,7 +196,7 @@
             Message::CancelAck(ack) => self.dispatcher.cancel_ack(&ack, now),
             _ => Vec::new(),
         };
-        self.act(actions);
+        self.execute(actions);
     }
 
     fn listed(&mut self, rows: &[BoxRow], now: Duration) {
@@ -210,7 +210,7 @@
         self.dispatcher.listed(&listed, now);
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Dispatch(side, dispatch) => {
@@ -222,7 +222,7 @@
                 Action::Cancel(side, cancel) => self.send(&side, Message::Cancel(cancel)),
                 Action::Settle(job, outcome) => {
                     if let Some(tx) = self.callers.remove(&job) {
-                        // A caller that has gone has no use for it.
+                        // The send fails only if the caller has gone and needs no outcome.
                         let _ = tx.send(outcome);
                     }
                 }
@@ -259,8 +259,8 @@
         .collect()
     }
 
-    /// Shows the dispatcher's counts as metrics.
-    fn show(&self) {
+    /// Sets the metrics to the dispatcher's counts.
+    fn update_metrics(&self) {
         let counts = self.dispatcher.counts();
         let dropped = &self.shared.metrics.dropped;
         let set = |why: &str, count: u64| {
--- a/crates/rampbay-entry/src/gang_calls.rs
+++ b/crates/rampbay-entry/src/gang_calls.rs
@@ -1,4 +1,4 @@
-//! What the planner's commands come to on the workers.
+//! Carries out the planner's commands on the workers.
 
 use std::sync::Arc;
 
@@ -22,40 +22,43 @@
     /// A worker refused or didn't answer.
     #[error("{0}")]
     Worker(#[from] WorkerError),
-    /// Together with what others hold by now it would leave a guarantee short, or it isn't
-    /// wanted any more.
+    /// The check after all holds failed: together with what other planners hold by now, the gang
+    /// would leave a guarantee short of devices, or its request doesn't need it any more.
     #[error("another planner's hold came first, and both would leave a guarantee short")]
-    Endangers,
+    RecheckFailed,
 }
 
-/// Holds every part, has the planner look again at what others hold, then commits.
+/// Holds every part, has the planner check the gang against the current holds of others, then
+/// commits every part.
 ///
 /// # Errors
 ///
-/// Returns why the gang didn't start; by then every part has been released or will lapse.
+/// Returns why the gang didn't start; by then every part has been released or will expire.
 pub async fn start_parts(
     workers: &Arc<dyn Workers>,
     meta: &LeaseMeta,
     placement: &Placement,
     times: LeaseTimes,
-    seen: u64,
+    revision: u64,
     tx: &mpsc::UnboundedSender<Input>,
 ) -> Result<(), StartError> {
     hold_all(workers, meta, placement, times).await?;
-    // Two planners may each see room for one gang, and together leave a guarantee short. So each
-    // looks again at all holds before it commits.
-    let page = workers.list(seen).await.ok();
+    // Two planners may each find room for a gang, and both gangs together leave a guarantee short.
+    // So each planner checks all holds again before it commits.
+    let page = workers.list(revision).await.ok();
     let (answer, verdict) = oneshot::channel();
     let _ = tx.send(Input::Held(meta.token, meta.job.clone(), page, answer));
     if !verdict.await.unwrap_or(false) {
         release_all(workers, meta.token, placement).await;
-        return Err(StartError::Endangers);
+        return Err(StartError::RecheckFailed);
     }
     commit_all(workers, meta.token, placement, times).await?;
     Ok(())
 }
 
-/// Has each part keep what `keep` says; returns whether every worker answered.
+/// Shrinks each part to its devices in `keep`, or to none; returns whether every worker did so.
+///
+/// Stops at the first worker that fails.
 pub async fn shrink_parts(
     workers: &Arc<dyn Workers>,
     token: FencingToken,
@@ -74,7 +77,9 @@
     true
 }
 
-/// Asks every worker to stop the gang's task; what can't be reached is asked again later.
+/// Asks every worker to stop the gang's task.
+///
+/// Failures are only logged: the planner repeats a yield that had no effect.
 pub async fn stop_parts(
     workers: &Arc<dyn Workers>,
     token: FencingToken,
--- a/crates/rampbay-entry/src/gangs.rs
+++ b/crates/rampbay-entry/src/gangs.rs
@@ -1,4 +1,4 @@
-//! Runs the planner: one task that owns it, carries its commands to the workers, and renews leases.
+//! Runs the planner in a task that owns it, sends its commands to the workers, and renews leases.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -27,24 +27,24 @@
     shared::Shared,
 };
 
-/// How often the planner ticks while nothing happens.
-const TICK: Duration = Duration::from_millis(25);
-/// Renewals within one lease.
-const RENEWALS: u32 = 3;
+/// Interval at which the planner ticks without any input.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Renewals within the duration of one lease.
+const RENEWALS_PER_LEASE: u32 = 3;
 
-/// What a request learns of its gang.
+/// An event that a request receives about its gang.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum GangEvent {
-    /// Every part is committed and the gates are open.
+    /// Every part is committed, and the gates are open.
     Started {
         /// Devices of the gang.
         devices: u32,
     },
-    /// The planner doesn't take it.
+    /// The planner refused the request.
     Refused(SubmitError),
-    /// Its deadline passed while it waited.
+    /// The deadline passed while the request waited.
     Expired,
-    /// Its devices are gone; the planner has it wait for others.
+    /// The gang lost its devices; the planner queues the request for others.
     Interrupted,
 }
 
@@ -55,12 +55,12 @@
     pub report: WorkerReport,
 }
 
-/// What operators see of the planner.
+/// The planner's state as operators see it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlanView {
     /// Workspaces with their counts.
     pub workspaces: Vec<WorkspaceView>,
-    /// Devices that work.
+    /// Working devices, free or in use.
     pub devices: u32,
     /// Devices that are free.
     pub free: u32,
@@ -68,45 +68,46 @@
     pub short: String,
 }
 
-/// What the task is told.
+/// The inputs of the planner task.
 #[derive(Debug)]
 pub enum Input {
     /// A request needs a gang.
     Acquire(Box<JobSpec>, mpsc::UnboundedSender<GangEvent>),
-    /// A request has no more use for its gang.
+    /// A request doesn't need its gang any more.
     Finish(JobId),
-    /// The accepted table.
+    /// A new version of the table was accepted.
     Table(BTreeMap<WorkspaceId, Knobs>),
-    /// Somebody wants to know why a job is in its state.
+    /// Asks why a job is in its state.
     Explain(JobId, oneshot::Sender<Option<Explanation>>),
-    /// Somebody wants to see the workers.
+    /// Asks for a view of the workers.
     Workers(oneshot::Sender<Vec<WorkerView>>),
-    /// Somebody wants to see the planner's counts.
+    /// Asks for a view of the planner.
     View(oneshot::Sender<PlanView>),
-    /// Somebody wants to know whether the fleet could hold these guarantees.
+    /// Asks whether the fleet could hold these guarantees all at once.
     Check(Vec<Knobs>, oneshot::Sender<Result<(), GuaranteeError>>),
-    /// Every part of a gang is held; may it go on?
+    /// Every part of a gang is held; asks whether the gang may be committed, given the workers'
+    /// changes since it was planned.
     Held(FencingToken, JobId, Option<WorkersPage>, oneshot::Sender<bool>),
-    /// A start has ended.
+    /// The start of a gang succeeded or failed.
     StartEnded(JobId, FencingToken, Result<(), StartError>),
     /// The workers have released a finished job's gang.
     Released(JobId),
-    /// A shrink was carried out.
+    /// The workers have shrunk a gang to these parts.
     Shrunk(FencingToken, Placement),
-    /// Leases of a worker were renewed.
+    /// The result of renewing the leases on a worker: those that are lost.
     Renewed(WorkerId, Result<Vec<LostLease>, WorkerError>),
-    /// The workers' changes.
+    /// The result of polling the workers for changes.
     Polled(Result<WorkersPage, WorkerError>),
 }
 
-/// The sending end of the task's channel.
+/// A handle to the planner task.
 #[derive(Debug, Clone)]
 pub struct Gangs {
     tx: mpsc::UnboundedSender<Input>,
 }
 
 impl Gangs {
-    /// Starts the task.
+    /// Starts the planner task and the polling of the workers.
     #[must_use]
     pub fn start(shared: Arc<Shared>, workers: Arc<dyn Workers>) -> Self {
         let (tx, rx) = mpsc::unbounded_channel();
@@ -130,7 +131,7 @@
             reports: BTreeMap::new(),
             table: BTreeMap::new(),
             reachable: true,
-            short: false,
+            guarantees_short: false,
             next_renewal: Duration::ZERO,
             revision: 0,
         };
@@ -138,12 +139,12 @@
         Self { tx }
     }
 
-    /// Tells the task something; it is only gone when the process ends.
+    /// Sends an input to the task. A failure is ignored, since the task ends only with the entry.
     pub fn tell(&self, input: Input) {
         let _ = self.tx.send(input);
     }
 
-    /// Asks for a gang; the guard gives it back when it is dropped.
+    /// Requests a gang; dropping the guard releases it.
     #[must_use]
     pub fn acquire(&self, spec: JobSpec) -> GangGuard {
         let (tx, rx) = mpsc::unbounded_channel();
@@ -152,7 +153,8 @@
         GangGuard { gangs: self.clone(), job, rx }
     }
 
-    /// Asks something that is answered through a channel.
+    /// Sends an input with a channel for its answer and waits for the answer, or returns `None` if
+    /// the task has ended.
     pub async fn ask<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> Input) -> Option<T> {
         let (tx, rx) = oneshot::channel();
         self.tell(input(tx));
@@ -160,7 +162,7 @@
     }
 }
 
-/// A request's claim on a gang; dropping it gives the gang back.
+/// A request's gang, waiting or running; dropping the guard releases it.
 #[derive(Debug)]
 pub struct GangGuard {
     gangs: Gangs,
@@ -169,7 +171,7 @@
 }
 
 impl GangGuard {
-    /// Waits for the next event of the gang.
+    /// Waits for the next event of the gang; `None` if there are no more.
     pub async fn next(&mut self) -> Option<GangEvent> {
         self.rx.recv().await
     }
@@ -181,9 +183,16 @@
     }
 }
 
-/// Returns whether this entry looks after a failure domain: the highest hash of the live entries
-/// does (rendezvous hashing). The list lags, so two may think so at once; that only costs refusals.
-fn looks_after(this: &ProcessId, peers: &[(ProcessId, SocketAddr)], domain: &str) -> bool {
+/// Returns whether this entry is the one whose planner prefers a failure domain: the listed entry
+/// with the highest hash (rendezvous hashing).
+///
+/// The list of boxes lags, so two entries may prefer the same domain at once; the only cost is
+/// refused starts.
+fn prefers_failure_domain(
+    this: &ProcessId,
+    peers: &[(ProcessId, SocketAddr)],
+    domain: &str,
+) -> bool {
     let weight =
         |id: &ProcessId| rapidhash::v3::rapidhash_v3(format!("{domain}\u{0}{id}").as_bytes());
     let own = weight(this);
@@ -208,7 +217,7 @@
     }
 }
 
-/// A gang of this entry that runs.
+/// A running gang of this entry.
 #[derive(Debug)]
 struct RunningGang {
     job: JobId,
@@ -226,23 +235,23 @@
     reports: BTreeMap<WorkerId, WorkerReport>,
     table: BTreeMap<WorkspaceId, Knobs>,
     reachable: bool,
-    short: bool,
+    guarantees_short: bool,
     next_renewal: Duration,
-    /// Changes of the workers up to here are known.
+    /// The workers' revision up to which their changes are known.
     revision: u64,
 }
 
 impl Task {
     async fn run(mut self, mut rx: mpsc::UnboundedReceiver<Input>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 input = rx.recv() => {
                     let Some(input) = input else { return };
-                    self.take(input);
+                    self.handle(input);
                     while let Ok(more) = rx.try_recv() {
-                        self.take(more);
+                        self.handle(more);
                     }
                 }
                 _ = ticks.tick() => self.renew_if_due(),
@@ -251,7 +260,7 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let now = epoch_now();
         match input {
             Input::Acquire(spec, tx) => self.acquire(*spec, tx, now),
@@ -300,7 +309,7 @@
 
     fn tell_caller(&self, job: &JobId, event: GangEvent) {
         if let Some(tx) = self.callers.get(job) {
-            // A caller that has gone finishes its gang by itself.
+            // The send fails only if the caller has gone; the drop of its guard finishes the gang.
             let _ = tx.send(event);
         }
     }
@@ -325,7 +334,7 @@
         });
     }
 
-    /// Releases what is left of a gang that the planner doesn't count any more.
+    /// Releases the remaining parts of a gang that has stopped or was lost.
     fn release(&self, token: FencingToken, placement: Placement) {
         let workers = self.workers.clone();
         self.shared.spawn(async move { release_all(&workers, token, &placement).await });
@@ -364,9 +373,9 @@
             self.carry_out(command);
         }
         let short = self.planner.short();
-        if short.is_empty() == self.short {
-            self.short = !short.is_empty();
-            if self.short {
+        if short.is_empty() == self.guarantees_short {
+            self.guarantees_short = !short.is_empty();
+            if self.guarantees_short {
                 let detail = format!("short of {short}");
                 self.shared.event(Code::GuaranteeShort, None, None, detail);
             }
@@ -390,10 +399,10 @@
         let detail = format!("{} devices, token {:x}", meta.gang_devices, meta.token);
         self.shared.event(Code::GangHolds, Some(&job), Some(&meta.workspace), detail);
         let (workers, times, tx) = (self.workers.clone(), self.times, self.tx.clone());
-        let seen = self.revision;
+        let revision = self.revision;
         self.shared.spawn(async move {
             let token = meta.token;
-            let result = start_parts(&workers, &meta, &placement, times, seen, &tx).await;
+            let result = start_parts(&workers, &meta, &placement, times, revision, &tx).await;
             // The receiver is gone only when the process ends.
             let _ = tx.send(Input::StartEnded(job, token, result));
         });
@@ -408,9 +417,10 @@
     ) {
         let current = self.planner.gang_of(job).filter(|(held, _)| *held == token);
         let Some((_, placement)) = current else {
-            // The request ended while its gang was being held; what was taken is given back.
+            // The request ended while its gang was being started, so a gang that did start is
+            // released.
             if result.is_ok() {
-                self.release_unknown(token);
+                self.release_everywhere(token);
             }
             return;
         };
@@ -433,7 +443,7 @@
         }
     }
 
-    fn release_unknown(&self, token: FencingToken) {
+    fn release_everywhere(&self, token: FencingToken) {
         let workers = self.workers.clone();
         let names: Vec<WorkerId> = self.reports.keys().cloned().collect();
         let parts = names
@@ -485,7 +495,7 @@
         }
     }
 
-    /// Takes in the workers' own reports.
+    /// Updates the planner with the workers' own reports.
     fn sync(&mut self, page: WorkersPage, now: Duration) {
         let mut suspect: HashSet<WorkerId> = HashSet::new();
         self.revision = self.revision.max(page.revision);
@@ -509,19 +519,19 @@
         for id in page.gone {
             self.reports.remove(&id);
             for job in self.planner.remove_worker(&id) {
-                self.lose(&job, now);
+                self.gang_lost(&job, now);
             }
         }
         for worker in suspect {
             self.renew(&worker);
         }
-        self.note_largest();
+        self.update_largest_places();
         let this = self.shared.settings.id.clone();
         let peers = self.shared.peers();
-        self.planner.look_after(|domain| looks_after(&this, &peers, domain));
+        self.planner.look_after(|domain| prefers_failure_domain(&this, &peers, domain));
     }
 
-    fn note_largest(&self) {
+    fn update_largest_places(&self) {
         let all = [Adjacency::Worker, Adjacency::Rack, Adjacency::FailureDomain, Adjacency::Any];
         let places = all.into_iter().map(|adjacency| (adjacency, self.planner.largest(adjacency)));
         let mut largest =
@@ -537,8 +547,8 @@
         })
     }
 
-    /// Stops what is left of a gang that lost a part, and has its job wait again.
-    fn lose(&mut self, job: &JobId, now: Duration) {
+    /// Releases the remaining parts of a gang that lost one, and has its job wait again.
+    fn gang_lost(&mut self, job: &JobId, now: Duration) {
         if let Some((token, placement)) = self.planner.gang_of(job)
             && self.running.remove(&token).is_some()
         {
@@ -555,16 +565,16 @@
         if now < self.next_renewal {
             return;
         }
-        self.next_renewal = now + self.times.lease / RENEWALS;
+        self.next_renewal = now + self.times.lease / RENEWALS_PER_LEASE;
         let workers: HashSet<WorkerId> =
             self.running.values().flat_map(|gang| gang.parts.keys().cloned()).collect();
         for worker in workers {
             self.renew(&worker);
         }
-        self.show();
+        self.update_metrics();
     }
 
-    fn show(&self) {
+    fn update_metrics(&self) {
         let set = |state: &str, count: u32| {
             let labels = labels(&[("state", state)]);
             self.shared.metrics.devices.get_or_create(&labels).set(i64::from(count));
@@ -598,7 +608,7 @@
     ) {
         let lost = match result {
             Ok(lost) => lost,
-            // The worker is gone; its poll will say so.
+            // The worker is gone; the next poll reports its removal.
             Err(WorkerError::NoWorker) => return,
             Err(e) => {
                 log::debug!("renewal on {worker}: {e}");
@@ -617,7 +627,7 @@
         };
         let job = gang.job.clone();
         match lease {
-            LostLease::Lapsed { .. } => self.lose(&job, now),
+            LostLease::Lapsed { .. } => self.gang_lost(&job, now),
             LostLease::Shrunk { .. } => {
                 gang.parts.remove(worker);
             }
--- a/crates/rampbay-entry/src/leases.rs
+++ b/crates/rampbay-entry/src/leases.rs
@@ -1,8 +1,9 @@
 //! Holding, committing and releasing a gang's parts on the workers.
 //!
 //! A gang starts in three steps: every part is held, then every part is committed, then the gates
-//! are opened. One refusal releases all. No worker runs a task before all parts are committed, and
-//! every call carries the fencing token, so that a holder that was paused can do no harm.
+//! are opened. One refusal releases all parts. No worker runs a task before all parts are
+//! committed. Every call carries the fencing token, so that the workers can refuse the late calls
+//! of a holder that was paused.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,12 +11,12 @@
 use rampbay_core::{ids::FencingToken, lease::LeaseMeta, topology::Placement};
 use rampbay_platform::workers::{HoldRequest, WorkerError, Workers};
 
-/// Times of leases.
+/// Durations of holds and leases.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseTimes {
-    /// How long a hold lasts by itself.
+    /// Time after which a hold expires unless it is committed.
     pub hold: Duration,
-    /// How long a committed lease lasts.
+    /// Time after which a committed lease expires unless it is renewed.
     pub lease: Duration,
 }
 
@@ -24,7 +25,7 @@
         u64::try_from(self.hold.as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Returns the length of a lease in milliseconds.
+    /// Returns the duration of a lease in milliseconds.
     #[must_use]
     pub fn lease_ms(self) -> u64 {
         u64::try_from(self.lease.as_millis()).unwrap_or(u64::MAX)
@@ -35,7 +36,7 @@
 ///
 /// # Errors
 ///
-/// Returns the first refusal; by then every part that may be held has been released.
+/// Returns the first refusal, after a release of every part, held or not, has been tried.
 pub async fn hold_all(
     workers: &Arc<dyn Workers>,
     meta: &LeaseMeta,
@@ -66,8 +67,8 @@
 ///
 /// # Errors
 ///
-/// Returns the first failure; by then every part has been released, as far as the workers can be
-/// reached. The others lapse by themselves.
+/// Returns the first failure, after every part on a worker that can be reached has been released.
+/// The other parts expire.
 pub async fn commit_all(
     workers: &Arc<dyn Workers>,
     token: FencingToken,
@@ -90,7 +91,7 @@
     }
 }
 
-/// Releases every part; what can't be reached lapses by itself.
+/// Releases every part; the parts on workers that can't be reached expire.
 pub async fn release_all(workers: &Arc<dyn Workers>, token: FencingToken, placement: &Placement) {
     let releases = placement.iter().map(|part| workers.release(&part.worker, token));
     for e in join_all(releases).await.into_iter().filter_map(Result::err) {
