--- a/crates/rampbay-entry/src/keys.rs
+++ b/crates/rampbay-entry/src/keys.rs
@@ -1,4 +1,4 @@
-//! Who may speak for which workspace.
+//! Keys of callers and operators, and the access that each gives.
 
 use std::sync::{PoisonError, RwLock};
 
@@ -10,16 +10,16 @@
 /// What a key allows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Access {
-    /// Everything; no keys are set, or it is an operator's key.
+    /// Access to everything, with an operator's key or because no keys are set.
     Operator,
-    /// One workspace's requests.
+    /// Access to the requests of one workspace.
     Workspace(WorkspaceId),
-    /// Nothing.
+    /// No access.
     Denied,
 }
 
 impl Access {
-    /// Returns whether it allows to speak for a workspace.
+    /// Returns whether this access includes the requests of a workspace.
     #[must_use]
     pub fn covers(&self, workspace: &str) -> bool {
         match self {
@@ -37,18 +37,21 @@
 }
 
 impl Keys {
-    /// Creates a set of keys; an empty one lets everybody in.
+    /// Creates a set of keys; an empty set gives everyone full access.
     #[must_use]
     pub fn new(keys: Vec<KeySettings>) -> Self {
         Self { keys: RwLock::new(keys) }
     }
 
-    /// Replaces the keys. Old and new may stand side by side while callers change over.
+    /// Replaces the keys. The new set may contain old and new keys, so that callers can switch
+    /// over one by one.
     pub fn rotate(&self, keys: Vec<KeySettings>) {
         *self.keys.write().unwrap_or_else(PoisonError::into_inner) = keys;
     }
 
-    /// Returns what an `Authorization` header allows. Every key is compared, in constant time.
+    /// Returns the access that an `Authorization` header gives.
+    ///
+    /// Every key is compared, in constant time.
     #[must_use]
     pub fn access(&self, authorization: Option<&str>) -> Access {
         let keys = self.keys.read().unwrap_or_else(PoisonError::into_inner);
--- a/crates/rampbay-entry/src/settings.rs
+++ b/crates/rampbay-entry/src/settings.rs
@@ -17,27 +17,27 @@
     pub id: ProcessId,
     /// Its failure domain.
     pub failure_domain: String,
-    /// Where callers are served; port 0 takes a free one.
+    /// Address that serves callers; port 0 picks a free port.
     #[serde(default = "any_port")]
     pub callers: SocketAddr,
-    /// Where operators, metrics and health are served.
+    /// Address that serves operators, metrics and health.
     #[serde(default = "any_port")]
     pub operators: SocketAddr,
-    /// Where its mailbox listens.
+    /// Address on which its mailbox listens.
     #[serde(default = "any_port")]
     pub mailbox: SocketAddr,
-    /// The platform's log, list of boxes and workers.
+    /// Address of the platform's log, list of boxes and workers.
     pub platform: SocketAddr,
-    /// Bounds.
+    /// Bounds on sizes and counts.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// Times.
+    /// Intervals and timeouts.
     #[serde(default)]
     pub times: TimeSettings,
     /// The planner's times and bounds.
     #[serde(default)]
     pub plan: PlanSettings,
-    /// Keys of callers and operators; empty lets everybody in.
+    /// Keys of callers and operators; if empty, requests need no key and have full access.
     #[serde(default)]
     pub keys: Vec<KeySettings>,
     /// The level of the log: off, error, warn, info, debug or trace.
@@ -45,23 +45,23 @@
     pub log_level: String,
 }
 
-/// Bounds of an entry.
+/// Bounds on sizes and counts of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
     /// The largest body of a request, in bytes.
     pub body_bytes: usize,
-    /// Requests held at once.
+    /// Most requests without an outcome at once.
     pub requests: usize,
-    /// Requests that wait for a slot.
+    /// Most requests that wait for a slot of an upstream.
     pub queue: usize,
-    /// Upstreams that this entry sends work to at most, those of its failure domain first.
+    /// Most upstreams that this entry sends work to; those of its failure domain come first.
     pub upstreams: usize,
-    /// Bytes of bodies held at once.
+    /// Most bytes of request bodies held at once.
     pub held_bytes: usize,
-    /// Bytes of answers kept for callers that fetch them later.
+    /// Most bytes of answers kept for callers that fetch them later.
     pub kept_answer_bytes: usize,
-    /// Events that the time line keeps.
+    /// Most events that the time line keeps.
     pub timeline_events: usize,
 }
 
@@ -79,23 +79,24 @@
     }
 }
 
-/// Times of an entry, in milliseconds.
+/// Intervals and timeouts of an entry, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TimeSettings {
-    /// How long a hold of devices lasts by itself.
+    /// Time after which a hold of devices expires unless it is committed.
     pub hold_ms: u64,
-    /// How long a committed lease lasts; it is renewed three times within that.
+    /// Time after which a committed lease expires unless it is renewed; it is renewed three times
+    /// within that time.
     pub lease_ms: u64,
-    /// How often the workers are asked for changes.
+    /// Interval at which the workers are polled for changes.
     pub workers_poll_ms: u64,
-    /// How often the log is read.
+    /// Interval at which the log is polled.
     pub log_poll_ms: u64,
-    /// How often the list of boxes is read.
+    /// Interval at which the list of boxes is polled.
     pub boxes_poll_ms: u64,
     /// How long an answer is kept for callers that fetch it later.
     pub keep_answer_ms: u64,
-    /// Deadline of requests that name none.
+    /// Deadline of requests that set none.
     pub default_deadline_ms: u64,
 }
 
@@ -113,13 +114,13 @@
     }
 }
 
-/// One key.
+/// A key and what it gives access to.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySettings {
     /// The secret.
     pub key: String,
-    /// The workspace that it speaks for; absent for an operator's key.
+    /// The workspace whose requests the key gives access to; absent for an operator's key.
     #[serde(default)]
     pub workspace: Option<WorkspaceId>,
 }
--- a/crates/rampbay-entry/src/shared.rs
+++ b/crates/rampbay-entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of an entry share.
+//! The state that the parts of an entry share.
 
 use std::{
     collections::BTreeMap,
@@ -31,12 +31,12 @@
 
 use crate::{jobs::Jobs, keys::Keys, settings::EntrySettings};
 
-/// What the parts of an entry share.
+/// The state that the parts of an entry share.
 #[derive(Debug)]
 pub struct Shared {
     /// The settings.
     pub settings: EntrySettings,
-    /// This start's number.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
     /// The clock of the time line.
     pub clock: Arc<Clock>,
@@ -44,47 +44,48 @@
     pub timeline: Timeline,
     /// The link to other processes.
     pub post: Post,
-    /// Counts of the link.
+    /// Counts of messages on the link.
     pub link_counts: Arc<LinkCounts>,
     /// The accepted table.
     pub table: RwLock<TableState>,
-    /// The requests.
+    /// Records of the requests.
     pub jobs: Jobs,
-    /// The keys.
+    /// Keys of callers and operators.
     pub keys: Keys,
-    /// Set while the entry stops.
+    /// Whether the entry is draining and takes no new requests.
     pub draining: AtomicBool,
     /// The metrics.
     pub metrics: EntryMetrics,
-    /// Devices of the largest place of each adjacency, as the planner last saw the fleet.
+    /// Devices of the largest place for each adjacency, used or not, as of the last sync of the
+    /// planner with the workers.
     pub largest: RwLock<BTreeMap<Adjacency, u32>>,
-    /// Mailboxes of other entries.
+    /// The other entries with their mailboxes.
     pub peers: RwLock<Vec<(ProcessId, SocketAddr)>>,
     started: Instant,
     tasks: Mutex<Vec<AbortHandle>>,
 }
 
-/// Finished tasks are forgotten once this many are known.
-const FORGET_TASKS_AT: usize = 1_024;
+/// Number of task handles at which those of finished tasks are dropped.
+const PRUNE_TASKS_AT: usize = 1_024;
 
 /// The metrics of an entry.
 #[derive(Debug, Clone)]
 pub struct EntryMetrics {
-    /// All of them.
+    /// The registry of all metrics.
     pub all: Metrics,
-    /// Requests by workspace and outcome.
+    /// Requests by workspace, outcome and reason.
     pub outcomes: Family<Labels, Counter>,
-    /// Completion time by workspace and class.
+    /// Time from arrival until the outcome, by workspace.
     pub completion: Family<Labels, Histogram>,
     /// The table's version.
     pub table_version: Family<Labels, Gauge>,
     /// Requests without an outcome.
     pub open: Family<Labels, Gauge>,
-    /// Messages dropped or refused, by why.
+    /// Stale replies and denied retries of the dispatcher, by cause.
     pub dropped: Family<Labels, Gauge>,
     /// Devices by state.
     pub devices: Family<Labels, Gauge>,
-    /// Commands to workers by what became of them.
+    /// Gangs that were started, refused, asked to yield, lost or released, by which of these.
     pub gangs: Family<Labels, Counter>,
 }
 
@@ -106,7 +107,7 @@
 }
 
 impl Shared {
-    /// Puts the shared parts together.
+    /// Creates the shared state of an entry.
     #[must_use]
     pub fn new(
         settings: EntrySettings,
@@ -136,17 +137,17 @@
         }
     }
 
-    /// Runs a task that ends with the entry.
+    /// Spawns a task that is aborted when the entry ends.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let handle = tokio::spawn(task).abort_handle();
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
-        if tasks.len() >= FORGET_TASKS_AT {
+        if tasks.len() >= PRUNE_TASKS_AT {
             tasks.retain(|task| !task.is_finished());
         }
         tasks.push(handle);
     }
 
-    /// Ends every task at once.
+    /// Aborts every task.
     pub fn abort_tasks(&self) {
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         for task in tasks.drain(..) {
@@ -154,35 +155,35 @@
         }
     }
 
-    /// Returns the time since this start.
+    /// Returns the time since this process started.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Reads the table.
+    /// Locks the table for reading.
     pub fn table(&self) -> RwLockReadGuard<'_, TableState> {
         self.table.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the table.
+    /// Locks the table for writing.
     pub fn table_mut(&self) -> RwLockWriteGuard<'_, TableState> {
         self.table.write().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns whether the entry stops.
+    /// Returns whether the entry is draining.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Returns the mailboxes of other entries.
+    /// Returns the other entries with their mailboxes.
     #[must_use]
     pub fn peers(&self) -> Vec<(ProcessId, SocketAddr)> {
         self.peers.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Records an event.
+    /// Records an event on the time line and in the log.
     pub fn event(
         &self,
         code: Code,
