--- a/crates/rampbay-side/src/http.rs
+++ b/crates/rampbay-side/src/http.rs
@@ -8,14 +8,14 @@
 
 use crate::side::Command;
 
-/// What the health endpoint tells.
+/// The JSON body of the health endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Health {
-    /// Whether new work is taken.
+    /// Whether the side process takes new work.
     pub serving: bool,
     /// Slots in use.
     pub used: u32,
-    /// Attempts that wait.
+    /// Attempts that wait for a slot.
     pub waiting: u32,
 }
 
--- a/crates/rampbay-side/src/lib.rs
+++ b/crates/rampbay-side/src/lib.rs
@@ -1,8 +1,9 @@
-//! The process beside each upstream.
+//! The side process, which runs beside each upstream as its sidecar.
 //!
-//! It alone decides what starts at its upstream: it counts slots and connections, starts each
-//! attempt at most once, and refuses work when the upstream is leaving. The decisions are in
-//! [`rampbay_dispatch::register`]; this crate gives them a mailbox, an HTTP client and a clock.
+//! The side process alone decides which attempts start at its upstream: it counts slots and
+//! connections, starts each attempt at most once, and refuses work when the upstream is leaving.
+//! The decisions are in [`rampbay_dispatch::register`]; this crate provides the mailbox, the HTTP
+//! client and the clock.
 //!
 //! ```no_run
 //! use rampbay_side::{settings::SideSettings, side::Side};
--- a/crates/rampbay-side/src/run.rs
+++ b/crates/rampbay-side/src/run.rs
@@ -1,4 +1,4 @@
-//! Running attempts at the upstream.
+//! Runs attempts at the upstream.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,7 +18,7 @@
     pub result: AttemptResult,
 }
 
-/// Holds an upstream's slot; dropping it reports the end, whatever ended the attempt.
+/// Holds a slot of the upstream; dropping the guard reports the attempt's end, however it ended.
 struct SlotGuard {
     done: Option<Done>,
     tx: mpsc::UnboundedSender<Done>,
@@ -44,13 +44,15 @@
 impl Drop for SlotGuard {
     fn drop(&mut self) {
         if let Some(done) = self.done.take() {
-            // The receiver is gone only when the process ends.
+            // The receiver is dropped only when the process ends.
             let _ = self.tx.send(done);
         }
     }
 }
 
-/// Starts an attempt; its end arrives at `tx`.
+/// Starts an attempt and sends its end to `tx`.
+///
+/// If the returned handle aborts the attempt, it ends as [`Failure::Stopped`].
 pub fn start(
     upstream: Arc<dyn Upstream>,
     dispatch: Dispatch,
@@ -71,14 +73,14 @@
             Ok(answer) => {
                 AttemptResult::Answered(Answer { status: answer.status, body: answer.body })
             }
-            Err(e) => of_error(&e),
+            Err(e) => result_of_error(&e),
         };
         guard.finish(result);
     });
     task.abort_handle()
 }
 
-fn of_error(e: &UpstreamError) -> AttemptResult {
+fn result_of_error(e: &UpstreamError) -> AttemptResult {
     match e {
         UpstreamError::Refused(_) => AttemptResult::NotRun(NotRun::UpstreamRefused),
         UpstreamError::Cut(_) => AttemptResult::Failed(Failure::Cut),
--- a/crates/rampbay-side/src/settings.rs
+++ b/crates/rampbay-side/src/settings.rs
@@ -14,24 +14,24 @@
     pub id: ProcessId,
     /// Its failure domain.
     pub failure_domain: String,
-    /// Where its mailbox listens; port 0 takes a free one.
+    /// Address on which its mailbox listens; port 0 picks a free port.
     #[serde(default = "any_port")]
     pub mailbox: SocketAddr,
-    /// Where metrics, health and drain listen.
+    /// Address that serves metrics, health and drain.
     #[serde(default = "any_port")]
     pub http: SocketAddr,
-    /// The upstream.
+    /// Address of the upstream.
     pub upstream: SocketAddr,
     /// Slots of the upstream.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Connections of the upstream at most.
+    /// Most connections to the upstream.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Attempts that may wait here for a slot.
+    /// Most attempts that wait here for a slot.
     #[serde(default = "default_queue")]
     pub queue: usize,
-    /// The largest answer that is taken from the upstream, in bytes.
+    /// The largest answer that is accepted from the upstream, in bytes.
     #[serde(default = "default_max_answer")]
     pub max_answer_bytes: usize,
     /// The level of the log: off, error, warn, info, debug or trace.
--- a/crates/rampbay-side/src/side.rs
+++ b/crates/rampbay-side/src/side.rs
@@ -1,4 +1,4 @@
-//! The side process: its mailbox, its register, and what it tells the entries.
+//! The side process: its mailbox, its register of attempts, and its reports to the entries.
 
 use std::{
     collections::HashMap,
@@ -33,18 +33,18 @@
     settings::SideSettings,
 };
 
-/// How often waiting attempts and reports are looked after.
-const TICK: Duration = Duration::from_millis(50);
-/// A changed load is reported at most this often.
-const REPORT_CHANGED: Duration = Duration::from_millis(100);
-/// An unchanged load is reported this often, as a heartbeat.
-const REPORT_UNCHANGED: Duration = Duration::from_millis(500);
-/// An entry that hasn't said hello for this long gets no more reports.
-const FORGET_ENTRY: Duration = Duration::from_secs(10);
-/// Events that the time line keeps here.
-const TIMELINE: usize = 2_048;
-/// Events that are sent on at once.
-const EVENTS_AT_ONCE: usize = 64;
+/// Interval at which waiting attempts, silent entries, due reports and unsent events are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Shortest interval between reports of a changed load.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which an unchanged load is reported as a heartbeat.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// An entry that hasn't sent a message for this long gets no more reports.
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Most events that the time line of a side process keeps.
+const TIMELINE_EVENTS: usize = 2_048;
+/// Most events that are forwarded in one message.
+const MAX_EVENTS_PER_MESSAGE: usize = 64;
 
 /// Why a side process can't start.
 #[derive(Debug, Error)]
@@ -54,10 +54,10 @@
     Listen(#[from] io::Error),
 }
 
-/// What the process can be told from within.
+/// A command to the side process's task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
-    /// Take no new work, and end when what runs has ended.
+    /// Take no new work, and end once all attempts have ended.
     Drain,
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl Side {
-    /// Starts a side process whose upstream is met over HTTP.
+    /// Starts a side process that calls its upstream over HTTP.
     ///
     /// # Errors
     ///
@@ -84,7 +84,7 @@
         Self::start_with(settings, Arc::new(upstream)).await
     }
 
-    /// Starts a side process beside any upstream.
+    /// Starts a side process with any client of an upstream.
     ///
     /// # Errors
     ///
@@ -107,7 +107,7 @@
         let (done_tx, done_rx) = mpsc::unbounded_channel();
         let state = State {
             register: Register::new(incarnation, settings.slots, settings.queue),
-            timeline: Timeline::new(settings.id.clone(), TIMELINE),
+            timeline: Timeline::new(settings.id.clone(), TIMELINE_EVENTS),
             started: Instant::now(),
             entries: HashMap::new(),
             running: HashMap::new(),
@@ -148,30 +148,30 @@
         self.http
     }
 
-    /// Returns the counts of its link.
+    /// Returns the counts of messages on its link.
     #[must_use]
     pub const fn link_counts(&self) -> &Arc<LinkCounts> {
         &self.counts
     }
 
-    /// Takes no new work from now on, without waiting.
+    /// Starts a drain without waiting for its end.
     pub fn begin_drain(&self) {
         let _ = self.commands.send(Command::Drain);
     }
 
-    /// Takes no new work and waits until what runs has ended.
+    /// Takes no new work and waits until all attempts have ended.
     pub async fn drain(mut self) {
         self.begin_drain();
-        // The task only ends by itself; a panic in it has been logged.
+        // The task isn't aborted here, so the only error is a panic, which has been logged.
         let _ = (&mut self.task).await;
     }
 
-    /// Waits until the process has drained, because somebody asked for it.
+    /// Waits until the process has drained, which another task or an operator may request.
     pub async fn wait(&mut self) {
         let _ = (&mut self.task).await;
     }
 
-    /// Ends the process at once, as a crash does.
+    /// Stops the process at once without a drain, as a crash would.
     pub fn kill(self) {
         self.task.abort();
     }
@@ -192,7 +192,7 @@
     upstream: Arc<dyn Upstream>,
     max_answer: usize,
     started: Instant,
-    /// Entries that said hello, with their mailbox and when they did.
+    /// Entries that sent a message, with their mailbox and the time of their last message.
     entries: HashMap<ProcessId, (SocketAddr, Duration)>,
     running: HashMap<AttemptId, AbortHandle>,
     reported: Option<Load>,
@@ -219,7 +219,7 @@
         mut commands: mpsc::UnboundedReceiver<Command>,
     ) {
         self.event(Code::ProcessStarted, None, format!("incarnation {incarnation:x}"));
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -237,8 +237,8 @@
         }
         self.event(Code::ProcessDrained, None, String::new());
         self.tick();
-        // Give the link the time to pass the last answers on.
-        tokio::time::sleep(REPORT_CHANGED).await;
+        // Gives the link time to send the last answers.
+        tokio::time::sleep(MIN_REPORT_INTERVAL).await;
     }
 
     fn now(&self) -> Duration {
@@ -257,14 +257,14 @@
             Message::Hello => self.report_to(envelope.reply_to),
             Message::Dispatch(dispatch) => {
                 let actions = self.register.dispatch(from, *dispatch, now);
-                self.act(actions);
+                self.execute(actions);
             }
             Message::Cancel(cancel) => {
                 self.event(Code::AttemptCancelled, Some(&cancel.job), cancel.attempt.to_string());
                 let actions = self.register.cancel(from, &cancel, now);
-                self.act(actions);
+                self.execute(actions);
             }
-            other => log::debug!("{} has no use for a {} message", self.id, other.kind()),
+            other => log::debug!("{} ignores a message of kind {}", self.id, other.kind()),
         }
         self.report_if_due(now);
     }
@@ -273,7 +273,7 @@
         self.running.remove(&done.attempt);
         self.event(Code::AttemptEnded, Some(&done.job), done.attempt.to_string());
         let actions = self.register.done(done.attempt, done.job, done.result, self.now());
-        self.act(actions);
+        self.execute(actions);
         self.report_if_due(self.now());
     }
 
@@ -284,12 +284,12 @@
         self.draining = true;
         self.event(Code::ProcessDraining, None, String::new());
         let actions = self.register.leave();
-        // The load goes first, so that the entries send nothing more.
+        // The load is reported first, so that the entries send no more work.
         self.report_to_all();
-        self.act(actions);
+        self.execute(actions);
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Run(dispatch) => self.start(*dispatch),
@@ -318,12 +318,12 @@
 
     fn count(&self, result: &rampbay_dispatch::message::AttemptResult) {
         use rampbay_dispatch::message::AttemptResult;
-        let word = match result {
+        let label = match result {
             AttemptResult::Answered(_) => "answered",
             AttemptResult::NotRun(_) => "not_run",
             AttemptResult::Failed(_) => "failed",
         };
-        let labels = rampbay_node::metrics::labels(&[("result", word)]);
+        let labels = rampbay_node::metrics::labels(&[("result", label)]);
         self.attempts.get_or_create(&labels).inc();
     }
 
@@ -336,22 +336,23 @@
     fn tick(&mut self) {
         let now = self.now();
         let actions = self.register.tick(now);
-        self.act(actions);
+        self.execute(actions);
         let before = self.entries.len();
-        self.entries.retain(|_, (_, heard)| now.saturating_sub(*heard) < FORGET_ENTRY);
+        self.entries
+            .retain(|_, (_, last_contact)| now.saturating_sub(*last_contact) < ENTRY_TIMEOUT);
         if self.entries.len() != before {
             let keep: Vec<SocketAddr> = self.entries.values().map(|(addr, _)| *addr).collect();
             self.post.retain(&keep);
         }
         self.report_if_due(now);
-        self.send_events();
+        self.forward_events();
     }
 
     fn report_if_due(&mut self, now: Duration) {
         let load = self.register.load();
         let changed = self.reported.as_ref() != Some(&load);
         let since = now.saturating_sub(self.reported_at);
-        if (changed && since >= REPORT_CHANGED) || since >= REPORT_UNCHANGED {
+        if (changed && since >= MIN_REPORT_INTERVAL) || since >= HEARTBEAT_INTERVAL {
             self.report_to_all();
         }
     }
@@ -375,11 +376,12 @@
         self.post.send(to, Message::Load(self.register.load()));
     }
 
-    /// Sends events on to one entry, so that they outlive this box.
-    fn send_events(&self) {
-        let latest = self.entries.values().max_by_key(|(_, heard)| *heard);
+    /// Forwards events to the entry that sent a message last, so that they survive the loss of this
+    /// box.
+    fn forward_events(&self) {
+        let latest = self.entries.values().max_by_key(|(_, last_contact)| *last_contact);
         let Some((addr, _)) = latest else { return };
-        let events = self.timeline.take_unsent(EVENTS_AT_ONCE);
+        let events = self.timeline.take_unsent(MAX_EVENTS_PER_MESSAGE);
         if !events.is_empty() {
             self.post.send(*addr, Message::Events(events));
         }
