--- a/crates/rampbay-entry/tests/documents.rs
+++ b/crates/rampbay-entry/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Documents that are held to the code.
+//! Checks that the documents match the code.
 
 use std::collections::BTreeSet;
 
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn parse_bad_settings_tells_every_fault_at_once() {
+fn parse_bad_settings_reports_every_fault_at_once() {
     let text = r#"{"id": "", "failure_domain": "a", "platform": "127.0.0.1:1",
         "limits": {"body_bytes": 0}, "times": {"lease_ms": 5}, "keys": [{"key": "short"}]}"#;
     let error = parse::<EntrySettings>(text).expect_err("faults").to_string();
