--- a/crates/rampbay-entry/src/entry.rs
+++ b/crates/rampbay-entry/src/entry.rs
@@ -143,9 +143,9 @@
         };
         let consumers =
             TableConsumers { dispatching: parts.dispatching.clone(), gangs: parts.gangs.clone() };
-        let callers = Serving::start(shared.settings.callers, callers::router(&parts)).await?;
+        let callers = HttpServer::start(shared.settings.callers, callers::router(&parts)).await?;
         let operators =
-            Serving::start(shared.settings.operators, operators::router(&parts)).await?;
+            HttpServer::start(shared.settings.operators, operators::router(&parts)).await?;
         shared.spawn(receive(shared.clone(), mailbox, consumers.clone()));
         shared.spawn(table::follow(shared.clone(), clients.log, consumers));
         let dispatching = parts.dispatching.clone();
--- a/crates/rampbay-entry/src/gangs.rs
+++ b/crates/rampbay-entry/src/gangs.rs
@@ -372,7 +372,7 @@
         for command in commands {
             self.carry_out(command);
         }
-        let short = self.planner.short();
+        let short = self.planner.missing_cells();
         if short.is_empty() == self.guarantees_short {
             self.guarantees_short = !short.is_empty();
             if self.guarantees_short {
@@ -528,7 +528,7 @@
         self.update_largest_places();
         let this = self.shared.settings.id.clone();
         let peers = self.shared.peers();
-        self.planner.look_after(|domain| prefers_failure_domain(&this, &peers, domain));
+        self.planner.prefer_failure_domains(|domain| prefers_failure_domain(&this, &peers, domain));
     }
 
     fn update_largest_places(&self) {
--- a/crates/rampbay-entry/src/membership.rs
+++ b/crates/rampbay-entry/src/membership.rs
@@ -36,7 +36,7 @@
         if last_hello.is_none_or(|at| shared.now().saturating_sub(at) >= HELLO_INTERVAL) {
             last_hello = Some(shared.now());
             for row in contacts.iter().filter(|row| row.id != shared.settings.id) {
-                shared.post.send(row.mailbox, Message::Hello);
+                shared.outbox.send(row.mailbox, Message::Hello);
             }
         }
         tokio::time::sleep(poll).await;
@@ -76,7 +76,7 @@
     let entries = rows.iter().filter(|row| row.role == Role::Entry);
     let contacts: Vec<BoxRow> = sides.iter().chain(entries).cloned().collect();
     let keep: Vec<_> = contacts.iter().map(|row| row.mailbox).collect();
-    shared.post.retain(&keep);
+    shared.outbox.retain(&keep);
     dispatching.tell(Input::Listed(sides));
     contacts
 }
--- a/crates/rampbay-entry/src/shared.rs
+++ b/crates/rampbay-entry/src/shared.rs
@@ -43,7 +43,7 @@
     /// The time line.
     pub timeline: Timeline,
     /// The link to other processes.
-    pub post: Post,
+    pub outbox: Outbox,
     /// Counts of messages on the link.
     pub link_counts: Arc<LinkCounts>,
     /// The accepted table.
--- a/crates/rampbay-entry/src/table.rs
+++ b/crates/rampbay-entry/src/table.rs
@@ -272,7 +272,7 @@
     const POLL_INTERVAL: Duration = Duration::from_millis(10);
     let until = shared.now() + TIMEOUT;
     while shared.now() < until {
-        let outcome = shared.table().fate(edit).cloned();
+        let outcome = shared.table().edit_outcome(edit).cloned();
         if outcome.is_some() {
             return outcome;
         }
