--- a/crates/rampbay-jobs/src/agent/incarnation.rs
+++ b/crates/rampbay-jobs/src/agent/incarnation.rs
@@ -35,7 +35,7 @@
 
 impl EndCause {
     /// Returns the name used in log lines.
-    const fn as_str(self) -> &'static str {
+    const fn label(self) -> &'static str {
         match self {
             Self::Replaced => "replaced",
             Self::Left => "left",
@@ -226,7 +226,7 @@
             "event=J163 worker incarnation ended worker={} runs={} why={} draining={} heard_ms={} names={names:?}",
             self.instance,
             self.runs.borrow().open.len(),
-            why.as_str(),
+            why.label(),
             self.is_draining(),
             self.last_contact.get().elapsed().as_millis()
         );
