--- a/crates/rampbay-jobs/src/planner/departure.rs
+++ b/crates/rampbay-jobs/src/planner/departure.rs
@@ -8,8 +8,8 @@
 
 use std::time::Duration;
 
-/// Work that a checkpointing run has at risk: the work since its last checkpoint, and the repeated start.
-const MAX_UNSAVED_WORK: Duration = Duration::from_millis(1500);
+/// Largest work that a checkpointing run has at risk: the work since its last checkpoint, and the repeated start.
+const MAX_WORK_AT_RISK: Duration = Duration::from_millis(1500);
 /// Half the width of the range in which the actual remaining time lies around one computed from the run's own rate,
 /// as a share of it. Progress is reported in whole percents once a second, so it is a tenth off for a run of ten
 /// seconds.
@@ -51,7 +51,7 @@
 impl DepartingRun {
     /// Returns whether the run is expected to lose no more work if it stays than if it is stopped.
     pub fn should_stay(&self) -> bool {
-        let at_risk = if self.checkpointing { self.ran.min(MAX_UNSAVED_WORK) } else { self.ran };
+        let at_risk = if self.checkpointing { self.ran.min(MAX_WORK_AT_RISK) } else { self.ran };
         let lost_if_stopped = at_risk.as_millis() as f64;
         let lost_at_departure = lost_if_stopped + self.notice_left_ms as f64;
         let chance = self.remaining.chance_of_ending_within(self.notice_left_ms);
--- a/crates/rampbay-jobs/src/planner/running.rs
+++ b/crates/rampbay-jobs/src/planner/running.rs
@@ -8,7 +8,7 @@
 use super::progress::RunsAt;
 
 /// Largest work since the last checkpoint of a run that saves checkpoints.
-const MAX_UNSAVED_WORK: Duration = Duration::from_millis(800);
+const MAX_WORK_SINCE_CHECKPOINT: Duration = Duration::from_millis(800);
 /// Work that every stop loses in addition, for the repeated start.
 const RESTART_WORK: Duration = Duration::from_millis(300);
 /// This work for a member of a gang, which needs capacity for all members again.
@@ -42,7 +42,7 @@
         let seen = runs.find(&self.id, self.attempt);
         let mut lost = seen.map_or(Duration::ZERO, |seen| seen.first_seen.elapsed());
         if self.checkpointing {
-            lost = lost.min(MAX_UNSAVED_WORK);
+            lost = lost.min(MAX_WORK_SINCE_CHECKPOINT);
         }
         let restart = if self.gang { GANG_RESTART_WORK } else { RESTART_WORK };
         let lost_ms = (lost + restart).as_millis() as u64;
