--- a/crates/rampbay-jobs/benches/round.rs
+++ b/crates/rampbay-jobs/benches/round.rs
@@ -20,7 +20,7 @@
     let mut group = c.benchmark_group("round");
     group.sample_size(20);
     for workers in WORKERS {
-        support::on_virtual_time(async {
+        support::run_in_virtual_time(async {
             let mut fleet = Fleet::new(workers, 1);
             fleet.advance(WARM_UP).await;
             let name = BenchmarkId::new("loaded", workers);
--- a/crates/rampbay-jobs/tests/agent.rs
+++ b/crates/rampbay-jobs/tests/agent.rs
@@ -10,7 +10,7 @@
 use support::store::{MemoryStore, StoreFault};
 use support::worker::{FakeWorker, StartFault};
 use support::{
-    AgentRig, job, on_virtual_time, running_plan, seed_running_job, step, table_of, task,
+    AgentRig, job, run_in_virtual_time, running_plan, seed_running_job, step, table_of, task,
 };
 use tokio::time::sleep;
 
@@ -39,7 +39,7 @@
 
 #[test]
 fn start_assigned_run() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig(2).await;
         assert_eq!(rig.worker.running(), vec![(task(JOB, 0), 1), (task(JOB, 1), 1)]);
     });
@@ -55,7 +55,7 @@
 #[case::all_fit(4, TaskStatus::Running, 3)]
 fn starts_within_capacity(#[case] held: u32, #[case] status: TaskStatus, #[case] expected: usize) {
     const OTHER: &str = "00000000000000bb";
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let rig = running_rig(held).await;
         rig.worker.ignores_stops.set(true);
         let mut plan = running_plan(held, "i-1", 1);
@@ -73,7 +73,7 @@
 
 #[test]
 fn end_stored_before_acknowledged() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig(1).await;
         rig.store.fault.set(StoreFault::Refuses);
         rig.worker.end(&task(JOB, 0), 1, EndReason::Done);
@@ -89,7 +89,7 @@
 /// ended attempt, and the refusal reached the store before the end did.
 #[test]
 fn restart_ended_run_not_started_again() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig(1).await;
         let (store, worker) = (rig.store.clone(), rig.worker.clone());
         rig.kill();
@@ -104,7 +104,7 @@
 /// An end is acknowledged to an idle worker as soon as the store holds it.
 #[test]
 fn last_end_acknowledged_soon() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig(1).await;
         rig.worker.end(&task(JOB, 0), 1, EndReason::Done);
         sleep(Duration::from_millis(300)).await;
@@ -116,7 +116,7 @@
 #[case::answer_lost(StartFault::AnswerLost, true)]
 #[case::order_lost(StartFault::OrderLost, false)]
 fn unanswered_start_settled(#[case] fault: StartFault, #[case] runs: bool) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
         worker.start_fault.set(fault);
@@ -133,7 +133,7 @@
 /// Regression: one start that an unhealthy worker rejected made a whole gang fail.
 #[test]
 fn refused_start_ordered_again() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
         worker.start_fault.set(StartFault::FirstRefused);
@@ -148,7 +148,7 @@
 
 #[test]
 fn unhealthy_worker_refusal_reported_once() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
         worker.start_fault.set(StartFault::Unhealthy);
@@ -162,7 +162,7 @@
 
 #[test]
 fn cancelled_job_stopped_without_planner() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig(2).await;
         rig.store.put(&Record::Cancelled(JOB.to_owned()));
         sleep(Duration::from_millis(600)).await;
@@ -177,7 +177,7 @@
 #[case::short(Duration::from_secs(8), true)]
 #[case::long(Duration::from_secs(17), false)]
 fn outage_leases(#[case] outage: Duration, #[case] runs: bool) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let rig = running_rig(1).await;
         rig.store.fault.set(StoreFault::Refuses);
         sleep(outage).await;
@@ -187,7 +187,7 @@
 
 #[test]
 fn new_incarnation_ends_old_one() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig(1).await;
         rig.worker.replace("i-2");
         rig.heartbeat("i-2", 1);
@@ -201,7 +201,7 @@
 /// A worker that doesn't answer is given up only when all its leases have expired.
 #[test]
 fn silent_worker_given_up_after_leases() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig(1).await;
         rig.worker.silent.set(true);
         for _ in 0..200 {
@@ -216,7 +216,7 @@
 /// An evicted worker is registered again only once all its runs have stopped.
 #[test]
 fn evicted_worker_returns_empty() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig(1).await;
         rig.store.put(&Record::Evicted("i-1".to_owned()));
         sleep(Duration::from_secs(3)).await;
@@ -230,7 +230,7 @@
 /// first one was still being stopped.
 #[test]
 fn next_attempt_waits_for_end_of_first() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig(1).await;
         rig.worker.ignores_stops.set(true);
         rig.store.put(&Record::Plan(JOB.to_owned(), Box::new(running_plan(1, "i-1", 2))));
@@ -244,7 +244,7 @@
 
 #[test]
 fn superseded_attempt_stopped() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig(1).await;
         let mut plan = running_plan(1, "i-1", 1);
         plan.open[0].steps[0][0].status = TaskStatus::Stopping;
@@ -261,7 +261,7 @@
 #[case::never_started(StartFault::None, vec![EndReason::NotStarted])]
 #[case::started_without_agent(StartFault::AnswerLost, vec![EndReason::Stopped])]
 fn stop_of_unknown_run_reported(#[case] before: StartFault, #[case] expected: Vec<EndReason>) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
         seed_running_job(&store, JOB, 1, "i-1");
@@ -282,7 +282,7 @@
 /// times a second, and its end was written each time.
 #[test]
 fn ended_incarnation_not_adopted_again() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig(1).await;
         rig.store.read_delay.set(Duration::from_secs(3));
         rig.worker.replace("i-2");
@@ -297,7 +297,7 @@
 /// repeated order would have been carried out.
 #[test]
 fn unanswered_start_ordered_again() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
         worker.start_fault.set(StartFault::FirstOrderLost);
@@ -314,7 +314,7 @@
 /// unanswered order of the same run.
 #[test]
 fn refusal_after_unanswered_start_proves_nothing() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
         worker.start_fault.set(StartFault::AnswerLostThenUnhealthy);
@@ -333,7 +333,7 @@
 /// an answer, and the member was stopped before the worker was polled for it.
 #[test]
 fn unanswered_start_that_runs_kept() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
         worker.start_fault.set(StartFault::AnswerLostThenUnhealthy);
@@ -349,7 +349,7 @@
 /// As above, but the table no longer wants the run when its start is due to be repeated.
 #[test]
 fn unanswered_start_no_longer_wanted_stopped_first() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
         worker.start_fault.set(StartFault::AnswerLost);
@@ -372,7 +372,7 @@
 /// The agent forgets the ends of jobs that the store no longer holds.
 #[test]
 fn ends_of_removed_job_forgotten() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig(1).await;
         rig.worker.end(&task(JOB, 0), 1, EndReason::Done);
         sleep(Duration::from_millis(300)).await;
--- a/crates/rampbay-jobs/tests/ages.rs
+++ b/crates/rampbay-jobs/tests/ages.rs
@@ -22,7 +22,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
-use support::{on_virtual_time, worker_record};
+use support::{run_in_virtual_time, worker_record};
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
@@ -299,7 +299,7 @@
 /// late the answer arrives.
 #[test]
 fn late_empty_answer_after_shorter_wait() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let log_store = Rc::new(LogStore::default());
         log_store.wait_limit.set(Duration::from_millis(400));
         log_store.answer_delay.set(Duration::from_millis(700));
@@ -317,7 +317,7 @@
 /// them: a view that ends before leaves the reader without them, and isn't as current as the call.
 #[test]
 fn reload_through_stale_view() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let log_store = Rc::new(LogStore::default());
         let log = Rc::clone(&log_store.log);
         ["a", "z"].iter().for_each(|key| log.put(key));
@@ -336,7 +336,7 @@
 /// A read that covers the parts of a reload, but ends before the log does, says nothing about the rest.
 #[test]
 fn reload_by_truncated_read() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let log_store = Rc::new(LogStore::default());
         let log = Rc::clone(&log_store.log);
         ["a", "z"].iter().for_each(|key| log.put(key));
@@ -357,7 +357,7 @@
 /// as the records that it was built from.
 #[test]
 fn reload_keeps_own_append() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let log_store = Rc::new(LogStore::default());
         log_store
             .log
@@ -386,7 +386,7 @@
 /// A peer that was stopped for a while gives the age as of its answer, not as of the call.
 #[test]
 fn pass_on_after_stop() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let log_store = Rc::new(LogStore::default());
         log_store.log.put("a");
         let peer = Reader::start(log_store);
@@ -411,7 +411,7 @@
 #[case::slow(300)]
 #[case::very_slow(1500)]
 fn chain_of_late_answers(#[case] jitter_ms: u64, #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let log = Rc::new(Log::default());
         let log_store = |salt| LogStore {
             log: Rc::clone(&log),
@@ -449,7 +449,7 @@
 /// A repeated append gets its first answer again, which says nothing about records appended after the first.
 #[test]
 fn own_append_answered_again() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let log_store = Rc::new(LogStore::default());
         let worker = |name: &str| {
             Record::Worker(name.to_owned(), Box::new(worker_record(name, "r", 8))).encode()
--- a/crates/rampbay-jobs/tests/cancels.rs
+++ b/crates/rampbay-jobs/tests/cancels.rs
@@ -13,7 +13,7 @@
 use rampbay_jobs::record::Record;
 use rampbay_jobs::store::Store;
 use support::store::{MemoryStore, StoreFault};
-use support::{job, on_virtual_time, step, table_of};
+use support::{job, run_in_virtual_time, step, table_of};
 use tokio::time::{Instant, sleep};
 
 const JOB: &str = "00000000000000aa";
@@ -48,7 +48,7 @@
 /// the cancellation, and the job would run on.
 #[test]
 fn cancel_job_just_accepted_elsewhere_kept() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let intake = intake(&store);
         sleep(Duration::from_millis(100)).await;
@@ -62,7 +62,7 @@
 
 #[test]
 fn cancel_job_unknown_answered_in_time() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let intake = intake(&store);
         sleep(Duration::from_millis(100)).await;
@@ -75,7 +75,7 @@
 /// While the store is unreachable, it isn't known whether there is such a job.
 #[test]
 fn cancel_store_unreachable_not_current() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let intake = intake(&store);
         sleep(Duration::from_millis(100)).await;
--- a/crates/rampbay-jobs/tests/crashes.rs
+++ b/crates/rampbay-jobs/tests/crashes.rs
@@ -19,7 +19,7 @@
 use support::planner::gang;
 use support::site::{Site, Work};
 use support::worker::StartFault;
-use support::{on_virtual_time, step, table_of};
+use support::{run_in_virtual_time, step, table_of};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -46,7 +46,7 @@
 
 #[test]
 fn crashing_task_is_given_up() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(4);
         sleep(STARTS_WITHIN).await;
         site.submit(CRASHING, step(1, 1), Work::Crashes(Duration::from_millis(10)));
@@ -60,7 +60,7 @@
     #[values(10, 500, 3000, 8000)] after_ms: u64,
     #[values(1, 4)] machines: usize,
 ) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let site = Site::start(machines);
         sleep(STARTS_WITHIN).await;
         site.submit(CRASHING, step(1, 1), Work::Crashes(Duration::from_millis(after_ms)));
@@ -72,7 +72,7 @@
 /// The worker ends before it answers, so the agent gets no answer for the run.
 #[test]
 fn crashing_task_whose_starts_are_never_answered_is_given_up() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(4);
         for machine in &site.machines {
             machine.worker.start_fault.set(StartFault::AnswerLost);
@@ -86,7 +86,7 @@
 
 #[test]
 fn crashing_task_is_given_up_by_the_third_leader() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(4);
         sleep(STARTS_WITHIN).await;
         site.submit(CRASHING, step(1, 1), Work::Crashes(Duration::from_millis(10)));
@@ -106,7 +106,7 @@
 /// jobs are submitted.
 #[rstest]
 fn crashing_task_is_given_up_while_leaders_are_killed(#[values(0, 200, 1000, 3600)] after_ms: u64) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let site = Site::start(5);
         sleep(STARTS_WITHIN).await;
         let other_jobs: Vec<String> = (1..=12).map(|number| format!("{number:016x}")).collect();
@@ -139,7 +139,7 @@
 /// The agent's process ends with the worker, and doesn't know the run when it is back.
 #[test]
 fn task_that_crashes_its_machine_is_given_up() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(4);
         sleep(STARTS_WITHIN).await;
         site.submit(CRASHING, step(1, 1), Work::CrashesMachine(Duration::from_millis(10)));
@@ -151,7 +151,7 @@
 /// One member crashes its worker, and its whole gang ends with it.
 #[test]
 fn gang_with_a_crashing_member_is_given_up() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(6);
         sleep(STARTS_WITHIN).await;
         site.submit(CRASHING, gang(3, 8), Work::GangCrashes(Duration::from_millis(10)));
@@ -166,7 +166,7 @@
 
 #[test]
 fn long_running_task_that_crashes_its_worker_is_given_up() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(4);
         sleep(STARTS_WITHIN).await;
         let long_running_step = Step { long_running: true, ..step(1, 1) };
@@ -180,7 +180,7 @@
 /// of them of suspicion.
 #[test]
 fn job_whose_tasks_crash_several_workers_at_a_time_is_given_up() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(6);
         sleep(STARTS_WITHIN).await;
         site.submit(CRASHING, step(4, 8), Work::AllCrash(Duration::from_millis(10)));
@@ -197,7 +197,7 @@
 /// Two jobs crash their workers at the same time; every other job succeeds.
 #[rstest]
 fn other_jobs_beside_crashing_ones_succeed(#[values(10, 500, 3000)] after_ms: u64) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let site = Site::start(5);
         sleep(STARTS_WITHIN).await;
         let other_job = |number: usize| format!("{number:016x}");
@@ -225,7 +225,7 @@
 /// The workers' failure domain loses power twice while a job runs there. The job isn't at fault.
 #[test]
 fn job_that_loses_power_twice_succeeds() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(3);
         sleep(STARTS_WITHIN).await;
         let work = Work::Ends(Duration::from_secs(9));
@@ -247,7 +247,7 @@
 /// joins it.
 #[test]
 fn crashing_task_is_tried_alone() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(5);
         sleep(STARTS_WITHIN).await;
         for number in 1..=3 {
@@ -266,7 +266,7 @@
 /// A worker whose incarnation goes on was cut off and didn't crash: its runs aren't suspected.
 #[test]
 fn cut_off_worker_is_no_crash() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(2);
         sleep(STARTS_WITHIN).await;
         site.submit(CRASHING, step(1, 1), Work::Ends(Duration::from_secs(25)));
@@ -287,7 +287,7 @@
 /// registered again.
 #[test]
 fn loss_at_a_worker_that_comes_back_is_removed() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(2);
         sleep(STARTS_WITHIN).await;
         site.submit(CRASHING, step(1, 1), Work::Ends(Duration::from_secs(25)));
@@ -305,7 +305,7 @@
 /// A worker that gives notice and then ends raises no suspicion against its runs.
 #[test]
 fn run_that_goes_with_a_leaving_worker_is_not_counted() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(2);
         sleep(STARTS_WITHIN).await;
         site.submit(CRASHING, step(1, 1), Work::Ends(Duration::from_secs(9)));
@@ -323,7 +323,7 @@
 /// isn't counted.
 #[test]
 fn run_that_was_never_ordered_is_not_counted() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(1);
         sleep(STARTS_WITHIN).await;
         site.crash(&site.machines[0]);
@@ -340,7 +340,7 @@
 /// once was lost five times within half a second, and its job was failed.
 #[test]
 fn job_that_moves_from_one_lost_machine_to_the_next_succeeds() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(10);
         sleep(STARTS_WITHIN).await;
         site.submit(CRASHING, step(10, 1), Work::Ends(Duration::from_secs(6)));
@@ -364,7 +364,7 @@
 /// seconds, a job with a worker of its own was failed.
 #[test]
 fn job_whose_workers_crash_long_after_its_start_succeeds() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(6);
         sleep(STARTS_WITHIN).await;
         site.submit(CRASHING, step(1, 1), Work::Ends(Duration::from_secs(10)));
@@ -385,7 +385,7 @@
 /// started beside others after a while, and its job still fails.
 #[test]
 fn crashing_task_is_given_up_where_no_worker_is_ever_idle() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(4);
         sleep(STARTS_WITHIN).await;
         let long_running_step = Step { long_running: true, max_per_worker: 1, ..step(4, 1) };
@@ -404,7 +404,7 @@
 /// spread over one worker each.
 #[test]
 fn runs_of_one_age_are_not_kept_apart() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(6);
         sleep(STARTS_WITHIN).await;
         site.submit(CRASHING, step(6, 1), Work::Ends(Duration::from_secs(8)));
--- a/crates/rampbay-jobs/tests/decisions.rs
+++ b/crates/rampbay-jobs/tests/decisions.rs
@@ -10,7 +10,7 @@
 use rampbay_jobs::record::{EndReason, ProgressReport};
 use rstest::rstest;
 use support::planner::{PlannerRig, gang, progress};
-use support::{job, on_virtual_time, settings, step, task};
+use support::{job, run_in_virtual_time, settings, step, task};
 use tokio::time::Instant;
 
 const JOB: &str = "00000000000000aa";
@@ -22,7 +22,7 @@
 #[case::young(Duration::from_secs(2), TaskStatus::Stopping)]
 #[case::old(Duration::from_secs(12), TaskStatus::Running)]
 fn urgent_work_stops_in_proportion(#[case] ran: Duration, #[case] expected: TaskStatus) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 8)));
         rig.plan();
@@ -38,7 +38,7 @@
 #[case::in_time(0, TaskStatus::Stopping)]
 #[case::late(20_000, TaskStatus::Running)]
 fn late_urgent_work_stops_no_run(#[case] late_ms: u64, #[case] expected: TaskStatus) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let mut rig = PlannerRig::of_workers(1);
         rig.wall = 100_000;
         rig.submit(Submission { submitted_at: rig.wall, ..job(JOB, 1, step(1, 8)) });
@@ -53,7 +53,7 @@
 /// each accelerator as it becomes free. Seen on the bench.
 #[test]
 fn waiting_gang_holds_worker_from_less_urgent_work() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(6);
         rig.submit(job(JOB, 2, step(6, 8)));
         rig.plan();
@@ -78,7 +78,7 @@
     #[case] members: u32,
     #[case] running_soon: usize,
 ) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let mut rig = PlannerRig::of_workers(6);
         rig.submit(job(JOB, 0, Step { required_label: "r0".to_owned(), ..step(busy_per_rack, 8) }));
         rig.submit(job(
@@ -103,7 +103,7 @@
 /// Widely scattered estimates say little: the job with fewer tasks goes first, whatever its estimate is.
 #[test]
 fn scattered_estimates_shrunk_to_mean() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         let estimated = |id: &str, count: u32, estimate_ms: u64| {
             job(id, 1, Step { estimate_ms, ..step(count, 4) })
@@ -129,7 +129,7 @@
 #[case::two_jobs(true, "i-1")]
 #[case::one_job(false, "i-0")]
 fn slow_worker_avoided(#[case] both_slow: bool, #[case] expected: &str) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let mut rig = PlannerRig::of_workers(2);
         rig.submit(job(JOB, 1, step(1, 2)));
         rig.submit(job(OTHER, 1, step(1, 2)));
@@ -156,7 +156,7 @@
 /// A worker whose runs are slower than those of the same step elsewhere is left to work that isn't urgent.
 #[test]
 fn urgent_work_prefers_faster_machines() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         rig.submit(job(JOB, 1, step(3, 3)));
         rig.plan();
@@ -185,7 +185,7 @@
 #[case::not_urgent(1, step(1, 8), WaitReason::NoRoom)]
 #[case::wants_rack(1, Step { same_rack: true, ..gang(2, 4) }, WaitReason::NoRack)]
 fn wait_reason(#[case] priority: u32, #[case] waiting_step: Step, #[case] expected: WaitReason) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 8)));
         rig.plan();
@@ -201,7 +201,7 @@
 /// stops the youngest run. Without the reports all runs would seem equally young.
 #[test]
 fn youngest_run_stopped_after_takeover() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         rig.submit(job(JOB, 1, step(2, 8)));
         rig.plan();
--- a/crates/rampbay-jobs/tests/departures.rs
+++ b/crates/rampbay-jobs/tests/departures.rs
@@ -8,7 +8,7 @@
 use support::site::{Site, Work};
 use support::store::{MemoryStore, StoreFault};
 use support::worker::FakeWorker;
-use support::{AgentRig, on_virtual_time, seed_running_job, step, table_of, task};
+use support::{AgentRig, run_in_virtual_time, seed_running_job, step, table_of, task};
 use tokio::time::sleep;
 
 const JOB: &str = "00000000000000aa";
@@ -30,7 +30,7 @@
 /// recorded neither for 25 s.
 #[test]
 fn departure_stored_at_once() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = departing_rig().await;
         sleep(Duration::from_millis(100)).await;
         let table = table_of(&rig.store);
@@ -45,7 +45,7 @@
 #[case::gone(true, false)]
 #[case::still_answering(false, true)]
 fn departed_worker_removed_once_connections_refused(#[case] gone: bool, #[case] is_known: bool) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let rig = departing_rig().await;
         rig.worker.gone.set(gone);
         sleep(Duration::from_millis(500)).await;
@@ -55,7 +55,7 @@
 
 #[test]
 fn silent_departed_worker_kept_until_its_leases_have_expired() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = departing_rig().await;
         rig.worker.silent.set(true);
         sleep(Duration::from_secs(4)).await;
@@ -67,7 +67,7 @@
 
 #[test]
 fn departed_worker_never_renewed_by_successor() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = departing_rig().await;
         sleep(Duration::from_millis(100)).await;
         let (store, worker) = (rig.store.clone(), rig.worker.clone());
@@ -80,7 +80,7 @@
 
 #[test]
 fn agent_unsettled_until_departure_stored() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = departing_rig().await;
         rig.store.fault.set(StoreFault::Refuses);
         rig.worker.gone.set(true);
@@ -95,7 +95,7 @@
 
 #[test]
 fn agent_unsettled_until_end_stored() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new(WORKER);
         seed_running_job(&store, JOB, 1, WORKER);
@@ -116,7 +116,7 @@
 /// 22.7 s.
 #[test]
 fn worker_gone_after_notice_given_up_by_its_last_lease() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let site = Site::start(3);
         sleep(Duration::from_millis(1500)).await;
         site.submit(JOB, step(1, 1), Work::Ends(Duration::from_secs(30)));
@@ -140,7 +140,7 @@
 #[case::refuses_before(Duration::from_secs(60), true)]
 #[case::answers_after(Duration::from_millis(500), false)]
 fn worker_after_notice_kept(#[case] notice: Duration, #[case] refuses: bool) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let site = Site::start(1);
         sleep(Duration::from_millis(1500)).await;
         let machine = &site.machines[0];
--- a/crates/rampbay-jobs/tests/drains.rs
+++ b/crates/rampbay-jobs/tests/drains.rs
@@ -15,7 +15,8 @@
 use support::store::{MemoryStore, StoreFault};
 use support::worker::{FakeWorker, StartFault};
 use support::{
-    AgentRig, job, on_virtual_time, running_plan, seed_running_job, step, table_of, worker_record,
+    AgentRig, job, run_in_virtual_time, running_plan, seed_running_job, step, table_of,
+    worker_record,
 };
 use tokio::time::sleep;
 
@@ -47,7 +48,7 @@
 
 #[test]
 fn plan_drained_domain_gets_nothing() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = rig();
         rig.drained = drained(&["east"], 5);
         rig.submit(job(JOB, 2, step(4, 8)));
@@ -59,7 +60,7 @@
 
 #[test]
 fn plan_runs_in_drained_domain_go_on() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = rig();
         rig.submit(job(JOB, 2, step(4, 8)));
         rig.plan();
@@ -71,7 +72,7 @@
 
 #[test]
 fn plan_two_drained_domains_restored_one_by_one() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = rig();
         rig.drained = drained(&["east", "west"], 5);
         rig.submit(job(JOB, 2, step(4, 8)));
@@ -89,7 +90,7 @@
 /// A leader that takes over may have read less of the operators' topic than the previous one.
 #[test]
 fn plan_older_view_restores_nothing() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = rig();
         rig.put(&Record::Drained(drained(&["east"], 9)));
         rig.drained = drained(&[], 8);
@@ -103,7 +104,7 @@
 /// A restored domain is used only once the state topic shows it: agents refuse starts before that.
 #[test]
 fn round_restores_before_it_assigns() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = rig();
         rig.put(&Record::Drained(drained(&["east", "west"], 5)));
         rig.drained = drained(&[], 6);
@@ -119,7 +120,7 @@
 #[case::too_old(Some(Duration::from_millis(2751)), 0)]
 #[case::current(Some(Duration::from_millis(2750)), 1)]
 fn plan_assigns_only_with_known_orders(#[case] age: Option<Duration>, #[case] running: usize) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let mut rig = rig();
         rig.drain_orders_age = age;
         rig.submit(job(JOB, 2, step(1, 8)));
@@ -131,7 +132,7 @@
 /// A gang that only a rack in a drained domain could hold doesn't wait for that rack.
 #[test]
 fn plan_gang_spread_where_its_rack_is_drained() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let worker = |domain: &str, rack: &str| WorkerRecord {
             failure_domain: domain.to_owned(),
             ..worker_record("side", rack, 8)
@@ -153,7 +154,7 @@
 /// the store was unavailable: both stay in force until their key is removed.
 #[test]
 fn leader_drain_outlasts_restart_and_dropped_history() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         store.put_into(OPERATOR_TOPIC, "east", b"{}");
         start_leader(&store, "entry-1", 1, None);
@@ -194,7 +195,7 @@
     #[case] expected: Vec<EndReason>,
     #[case] running: usize,
 ) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let store = MemoryStore::new();
         store.put(&Record::Drained(drained(&[domain], 3)));
         seed_running_job(&store, JOB, 1, "i-1");
@@ -209,7 +210,7 @@
 /// A start without an answer isn't ordered again after the drain; it is settled by a stop order.
 #[test]
 fn agent_unanswered_start_not_repeated_in_drained_domain() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new("i-1");
         worker.start_fault.set(StartFault::FirstOrderLost);
@@ -226,7 +227,7 @@
 
 #[test]
 fn agent_run_in_drained_domain_goes_on() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 2, "i-1");
         let rig = AgentRig::start(store, FakeWorker::new("i-1"));
@@ -242,7 +243,7 @@
 
 #[test]
 fn agent_starts_again_after_drain() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         store.put(&Record::Drained(drained(&["domain-1"], 3)));
         let rig = AgentRig::start(store, FakeWorker::new("i-1"));
--- a/crates/rampbay-jobs/tests/entry_switches.rs
+++ b/crates/rampbay-jobs/tests/entry_switches.rs
@@ -23,7 +23,7 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 use support::store::MemoryStore;
-use support::{job, on_virtual_time, step, table_of, task, worker_record};
+use support::{job, run_in_virtual_time, step, table_of, task, worker_record};
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
@@ -193,7 +193,7 @@
 /// for that.
 #[rstest]
 fn agent_knows_its_runs_through_any_entry(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let store = MemoryStore::new();
         let entries = RefCell::new(vec![Entry::start(&store), Entry::start(&store)]);
         let (first, newest_reads) = (Cell::new(0), Cell::new(0));
--- a/crates/rampbay-jobs/tests/gaps.rs
+++ b/crates/rampbay-jobs/tests/gaps.rs
@@ -17,7 +17,7 @@
 use support::entry::EntryRelayedStore;
 use support::store::MemoryStore;
 use support::worker::FakeWorker;
-use support::{AgentRig, job, on_virtual_time, running_plan, seed_running_job, step, task};
+use support::{AgentRig, job, run_in_virtual_time, running_plan, seed_running_job, step, task};
 use tokio::time::sleep;
 
 const JOB: &str = "00000000000000aa";
@@ -60,7 +60,7 @@
 #[case::no_gap(false)]
 #[case::gap(true)]
 fn run_goes_on_while_state_cannot_be_read(#[case] has_gap: bool) {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         let entry = EntryRelayedStore::start(&store);
--- a/crates/rampbay-jobs/tests/intake.rs
+++ b/crates/rampbay-jobs/tests/intake.rs
@@ -13,7 +13,7 @@
 use support::intake::IntakeRig;
 use support::leader::start_leader;
 use support::store::{MemoryStore, StoreFault};
-use support::{job, on_virtual_time, step, table_of, worker_record};
+use support::{job, run_in_virtual_time, step, table_of, worker_record};
 use tokio::time::{Instant, sleep};
 
 const JOB: &str = "00000000000000aa";
@@ -35,7 +35,7 @@
     #[case] key: Option<&'static str>,
     #[case] expected: Result<&'static str, Refusal>,
 ) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         let budget = rig.intake.wait_budget(None);
@@ -47,7 +47,7 @@
 /// As long as the configuration isn't known to be current, a key may have been removed.
 #[test]
 fn old_configuration_admits_no_caller() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         rig.store.fault.set(StoreFault::Refuses);
@@ -61,7 +61,7 @@
 
 #[test]
 fn older_configuration_ignored() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = IntakeRig::start();
         rig.routing.set(Routing { version: 0, ..Routing::default() });
         assert_eq!(rig.routing.get().map(|routing| routing.version), Some(1));
@@ -73,7 +73,7 @@
 #[case::refused(StoreFault::Refuses, Err(Refusal::Unavailable))]
 #[case::answer_lost(StoreFault::LosesAnswers, Err(Refusal::Unknown))]
 fn submission(#[case] fault: StoreFault, #[case] expected: Result<(), Refusal>) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         rig.store.fault.set(fault);
@@ -86,7 +86,7 @@
 /// A call doesn't wait longer than its limit for a store that doesn't answer.
 #[test]
 fn silent_store_caller_answered_in_time() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         rig.store.append_delay.set(Duration::from_secs(60));
@@ -116,7 +116,7 @@
 #[case::refused(StoreFault::Refuses)]
 #[case::answers_lost(StoreFault::LosesAnswers)]
 fn outage_within_callers_time_job_stored(#[case] fault: StoreFault) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         rig.store.fault.set(fault);
@@ -132,7 +132,7 @@
 /// A call that waits for a current configuration is answered by the one that is then in force.
 #[test]
 fn outage_within_callers_time_admitted() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         rig.store.fault.set(StoreFault::Refuses);
@@ -152,7 +152,7 @@
 /// is sent to the store.
 #[test]
 fn store_unreachable_caller_told_to_retry() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         rig.store.fault.set(StoreFault::Refuses);
@@ -170,7 +170,7 @@
 /// More calls than may wait are refused at once.
 #[test]
 fn too_many_waiting_refused_at_once() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = Rc::new(IntakeRig::start());
         sleep(Duration::from_millis(50)).await;
         rig.store.fault.set(StoreFault::Refuses);
@@ -192,7 +192,7 @@
 
 #[test]
 fn repeated_submission_stays_one_job() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         for count in 1..3 {
@@ -207,7 +207,7 @@
 
 #[test]
 fn status_of_unknown_job() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         assert_eq!(rig.intake.known_status(&JOB.to_owned()), Err(Refusal::NoJob));
@@ -219,7 +219,7 @@
 
 #[test]
 fn cancelled_job_shown_at_once() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         rig.submit(job(JOB, 1, step(1, 1)), CALLER_WAIT).await.expect("accepted");
@@ -234,7 +234,7 @@
 
 #[test]
 fn leader_plans_submitted_job() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         store.put(&Record::Worker("i-1".to_owned(), Box::new(worker_record("side-1", "r1", 8))));
         start_leader(&store, "entry-1", 1, None);
@@ -248,7 +248,7 @@
 /// A leader that was replaced and hasn't learned of it writes nothing more.
 #[test]
 fn replaced_leader_fenced() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         start_leader(&store, "entry-1", 1, None);
         sleep(Duration::from_millis(500)).await;
@@ -276,7 +276,7 @@
 /// A decision that a leader makes while the store loses answers is stored once.
 #[test]
 fn lost_answers_decision_stored_once() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         store.put(&Record::Worker("i-1".to_owned(), Box::new(worker_record("side-1", "r1", 8))));
         start_leader(&store, "entry-1", 1, None);
@@ -294,7 +294,7 @@
 /// A follower whose history was dropped reads the newest records and goes on.
 #[test]
 fn history_dropped_table_complete() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(Duration::from_millis(50)).await;
         rig.store.put(&Record::Submitted(Box::new(job(JOB, 1, step(1, 1)))));
--- a/crates/rampbay-jobs/tests/isolated_tasks.rs
+++ b/crates/rampbay-jobs/tests/isolated_tasks.rs
@@ -12,7 +12,7 @@
 use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::Record;
 use support::planner::{PlannerRig, gang};
-use support::{job, on_virtual_time, step, task};
+use support::{job, run_in_virtual_time, step, task};
 
 const SUSPECT: &str = "00000000000000aa";
 const OTHER: &str = "00000000000000bb";
@@ -36,7 +36,7 @@
 
 #[test]
 fn urgent_job_placed_before_isolated_tasks() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         submit_suspect(&mut rig);
         rig.submit(job(OTHER, 0, gang(2, 8)));
--- a/crates/rampbay-jobs/tests/late_calls_across_restarts.rs
+++ b/crates/rampbay-jobs/tests/late_calls_across_restarts.rs
@@ -11,7 +11,7 @@
 use support::acknowledged::{AcknowledgedEnds, assert_runs_once};
 use support::site::{Site, Work};
 use support::worker::LateCalls;
-use support::{on_virtual_time, step, table_of};
+use support::{run_in_virtual_time, step, table_of};
 use tokio::time::{Instant, sleep};
 
 const MACHINES: usize = 4;
@@ -26,7 +26,7 @@
 /// that never ends, because calls for one incarnation are carried out by the next.
 #[rstest]
 fn task_runs_once_across_incarnations(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let site = Site::start(MACHINES);
         let mut acknowledged = AcknowledgedEnds::watch(&site);
--- a/crates/rampbay-jobs/tests/late_heartbeats.rs
+++ b/crates/rampbay-jobs/tests/late_heartbeats.rs
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use support::store::MemoryStore;
 use support::worker::FakeWorker;
-use support::{AgentRig, on_virtual_time, seed_running_job, table_of, task};
+use support::{AgentRig, run_in_virtual_time, seed_running_job, table_of, task};
 use tokio::time::sleep;
 
 const JOB: &str = "00000000000000aa";
@@ -53,7 +53,7 @@
 
 #[test]
 fn late_heartbeat_has_no_effect() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = second_incarnation().await;
         let records = rig.store.all(STATE_TOPIC).len();
         rig.heartbeat(OLD, 2);
@@ -66,7 +66,7 @@
 /// A restarted agent doesn't know that the old incarnation has ended; its worker's answers show it.
 #[test]
 fn late_heartbeat_at_restarted_agent() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = second_incarnation().await;
         let (store, worker) = (Rc::clone(&rig.store), Rc::clone(&rig.worker));
         let before = registrations(&store, OLD);
@@ -84,7 +84,7 @@
 /// again.
 #[test]
 fn silent_incarnation_registered_again() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new(OLD);
         let rig = AgentRig::start(store, Rc::clone(&worker));
@@ -105,7 +105,7 @@
 #[rstest]
 fn heartbeats_in_any_order(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     const INCARNATIONS: usize = 3;
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let name = |incarnation: usize| format!("i-{}", incarnation + 1);
         let worker = FakeWorker::new(&name(0));
--- a/crates/rampbay-jobs/tests/late_writes.rs
+++ b/crates/rampbay-jobs/tests/late_writes.rs
@@ -25,8 +25,8 @@
 use support::store::MemoryStore;
 use support::worker::{FakeWorker, StartFault};
 use support::{
-    AgentRig, job, on_virtual_time, plan_of, running_plan, seed_running_job, step, table_of, task,
-    worker_record,
+    AgentRig, job, plan_of, run_in_virtual_time, running_plan, seed_running_job, step, table_of,
+    task, worker_record,
 };
 use tokio::time::sleep;
 
@@ -89,7 +89,7 @@
 
 #[test]
 fn late_removal_keeps_run_of_returned_worker() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let (rig, from, to) = returned_worker().await;
         add_other_worker(&rig.store);
         rig.store.apply_again(from, to);
@@ -103,7 +103,7 @@
 #[case::removal(true)]
 #[case::refusal(false)]
 fn late_write_of_predecessor_keeps_run(#[case] removal: bool) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let rig = AgentRig::start(MemoryStore::new(), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
         sleep(START_TIME).await;
@@ -144,7 +144,7 @@
 /// stored.
 #[test]
 fn run_assigned_before_return_not_started() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         store.put(&Record::Submitted(Box::new(job(JOB, 1, step(1, 1)))));
         store.put(&Record::Plan(JOB.to_owned(), Box::new(running_plan(1, WORKER, 1))));
@@ -162,7 +162,7 @@
 /// A run that was reported as never started appears at the worker nevertheless.
 #[test]
 fn refused_run_that_appears_stopped() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         let worker = FakeWorker::new(WORKER);
@@ -181,7 +181,7 @@
 /// worker has returned.
 #[test]
 fn run_assigned_before_return_not_started_by_successor() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         add_other_worker(&store);
         submit(&store);
@@ -204,7 +204,7 @@
 /// An incarnation that registers again after an eviction doesn't take back its earlier refusal of a run.
 #[test]
 fn refusal_before_return_from_eviction_kept() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         let worker = FakeWorker::new(WORKER);
@@ -227,7 +227,7 @@
 /// another registration number.
 #[test]
 fn registration_number_of_predecessor_not_reused() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         store.holds_appends.set(true);
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
@@ -257,7 +257,7 @@
 /// through an entry.
 #[test]
 fn late_removal_behind_entry_starts_nothing_elsewhere() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let (rig, from, to) =
             returned_worker_through(|store| EntryRelayedStore::start(store)).await;
         add_other_worker(&rig.store);
@@ -275,7 +275,7 @@
 /// worker has left.
 #[test]
 fn late_registration_of_worker_that_left_removed() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = AgentRig::start(MemoryStore::new(), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
         sleep(START_TIME).await;
@@ -297,7 +297,7 @@
 /// A worker has deregistered and its machine is gone; a registration from before is carried out late.
 #[test]
 fn late_registration_keeps_departure() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = AgentRig::start(MemoryStore::new(), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
         sleep(START_TIME).await;
@@ -319,7 +319,7 @@
 /// is gone.
 #[test]
 fn registration_without_number_stays_until_incarnation_ends() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
@@ -339,7 +339,7 @@
 /// Two agent processes that run on one machine at the same time don't flood the store.
 #[test]
 fn two_agent_processes_of_one_machine_write_little() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let worker = FakeWorker::new(WORKER);
         let first = AgentRig::start(Rc::clone(&store), Rc::clone(&worker));
@@ -358,7 +358,7 @@
 /// again in between.
 #[test]
 fn run_not_started_after_late_registration_and_restart() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
@@ -391,7 +391,7 @@
 /// Without late writes, an agent that starts again starts the run that was assigned before.
 #[test]
 fn run_assigned_before_restart_started() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         let rig = AgentRig::start(store, FakeWorker::new(WORKER));
--- a/crates/rampbay-jobs/tests/layer.rs
+++ b/crates/rampbay-jobs/tests/layer.rs
@@ -19,7 +19,7 @@
     AppendError, Batch, Candidacy, Fence, Offset, ReadError, Snapshot, Store,
 };
 use rstest::rstest;
-use support::on_virtual_time;
+use support::run_in_virtual_time;
 
 /// A store that records the calls that it receives.
 #[derive(Default)]
@@ -95,7 +95,7 @@
 #[case::plain(|inner: Rc<dyn Store>| -> Rc<dyn Store> { Rc::new(PlainLayer(inner)) })]
 #[case::read_your_writes(|inner| -> Rc<dyn Store> { Rc::new(ReadYourWritesStore::new(inner, LiveTable::default())) })]
 fn every_call_reaches_inner_store_unchanged(#[case] add_layer: fn(Rc<dyn Store>) -> Rc<dyn Store>) {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let inner = Rc::new(RecordingStore::default());
         let store = add_layer(Rc::clone(&inner) as Rc<dyn Store>);
         let _ = store.append(STATE_TOPIC, &[], None).await;
--- a/crates/rampbay-jobs/tests/leader.rs
+++ b/crates/rampbay-jobs/tests/leader.rs
@@ -12,7 +12,7 @@
 use rstest::rstest;
 use support::leader::start_leader;
 use support::store::{MemoryStore, StoreFault};
-use support::{on_virtual_time, table_of};
+use support::{run_in_virtual_time, table_of};
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
@@ -45,7 +45,7 @@
 
 #[test]
 fn small_process_leads_where_nobody_does() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let peer = Rc::new(WellProvisionedPeers { answers: Cell::new(false) });
         start(&store, SMALL, Some(peer));
@@ -59,7 +59,7 @@
 
 #[test]
 fn small_process_leaves_leadership_to_well_provisioned_one() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let peer = Rc::new(WellProvisionedPeers { answers: Cell::new(true) });
         start(&store, SMALL, Some(peer));
@@ -72,7 +72,7 @@
 
 #[test]
 fn small_process_hands_over_once_well_provisioned_one_answers() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let peer = Rc::new(WellProvisionedPeers { answers: Cell::new(false) });
         start(&store, SMALL, Some(Rc::clone(&peer) as Rc<dyn PreferredLeaders>));
@@ -96,7 +96,7 @@
 /// leader lost leadership in the middle of a burst.
 #[test]
 fn well_provisioned_process_that_starts_leaves_leader_in_place() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         store.elects_newcomers.set(true);
         start(&store, WELL_PROVISIONED, None);
@@ -113,7 +113,7 @@
 /// Expired leadership is taken over within one polling interval and a call.
 #[test]
 fn expired_leadership_taken_over_soon() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let first = start(&store, WELL_PROVISIONED, None);
         sleep(Duration::from_secs(2)).await;
@@ -130,7 +130,7 @@
 /// later it lost leadership to a hanging join of the first one.
 #[test]
 fn hanging_join_doesnt_take_leadership_back() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         store.elects_newcomers.set(true);
         start(&store, WELL_PROVISIONED, None);
@@ -152,7 +152,7 @@
 /// Processes that join at the same time settle on one leader; the others leave the group.
 #[test]
 fn processes_that_start_together_settle_on_one() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         store.elects_newcomers.set(true);
         for index in 0..5 {
@@ -169,7 +169,7 @@
 /// An unavailable store doesn't mean that nobody leads.
 #[test]
 fn small_process_doesnt_stand_for_election_while_store_is_unavailable() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let peer = Rc::new(WellProvisionedPeers { answers: Cell::new(false) });
         let well_provisioned = start(&store, WELL_PROVISIONED, None);
@@ -192,7 +192,7 @@
 /// of the first's.
 #[test]
 fn epochs_of_two_processes_differ() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let before = Leader { node: "entry-before".to_owned(), epoch: 9 << 20 };
         store.put(&Record::Leader(before.clone()));
@@ -233,7 +233,7 @@
 #[case::of_lower_salt(2, 1)]
 #[case::of_higher_salt(1, 2)]
 fn leader_that_starts_again_takes_its_epoch_from_the_state(#[case] salt: u64, #[case] next: u64) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let store = MemoryStore::new();
         let first = start_leader(&store, WELL_PROVISIONED, salt, None);
         sleep(Duration::from_secs(2)).await;
--- a/crates/rampbay-jobs/tests/notices.rs
+++ b/crates/rampbay-jobs/tests/notices.rs
@@ -14,7 +14,7 @@
 use rampbay_jobs::record::{ProgressReport, Record, WorkerRecord};
 use rstest::rstest;
 use support::planner::{PlannerRig, gang, progress};
-use support::{job, on_virtual_time, step, task};
+use support::{job, run_in_virtual_time, step, task};
 use tokio::time::{Instant, sleep};
 
 const JOB: &str = "00000000000000aa";
@@ -36,7 +36,7 @@
 /// Runs a case, and returns the status of the first task after the next rounds.
 fn run_case(case: Case) -> TaskStatus {
     let mut status = TaskStatus::Waiting;
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(3);
         rig.submit(job(JOB, 1, Step { estimate_ms: ESTIMATE_MS, ..case.step.clone() }));
         rig.plan();
--- a/crates/rampbay-jobs/tests/partial_views.rs
+++ b/crates/rampbay-jobs/tests/partial_views.rs
@@ -27,7 +27,7 @@
 use support::store::MemoryStore;
 use support::worker::FakeWorker;
 use support::{
-    AgentRig, job, on_virtual_time, running_plan, seed_running_job, step, task, worker_record,
+    AgentRig, job, run_in_virtual_time, running_plan, seed_running_job, step, task, worker_record,
 };
 use tokio::time::sleep;
 
@@ -65,7 +65,7 @@
 
 #[test]
 fn run_given_up_stopped_by_agent_behind_entry() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig().await;
         give_up(&rig.store, WORKER);
         rig.store.put(&plan(OTHER, 2));
@@ -76,7 +76,7 @@
 
 #[test]
 fn run_given_up_not_started_by_agent_behind_entry() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig().await;
         let second = "00000000000000bb";
         let planned = |instance, attempt| {
@@ -175,7 +175,7 @@
 /// plan's job isn't known. When such a plan was merely skipped, the run didn't start for as long as the agent lived.
 #[test]
 fn plan_without_its_job_makes_agent_reload() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let shared: Rc<dyn Store> = Rc::new(EntryWithoutJobs(EntryRelayedStore::start(&store)));
         sleep(ACTION_TIME).await;
@@ -191,7 +191,7 @@
 /// A gap that the state itself has can't be closed: the agent reloads the state every three seconds at most.
 #[test]
 fn plan_whose_job_is_missing_causes_few_reloads() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let rig = AgentRig::start(store, FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
--- a/crates/rampbay-jobs/tests/parts.rs
+++ b/crates/rampbay-jobs/tests/parts.rs
@@ -19,7 +19,9 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 use support::planner::PlannerRig;
-use support::{job, on_virtual_time, property, running_plan, settings, step, task, worker_record};
+use support::{
+    job, property, run_in_virtual_time, running_plan, settings, step, task, worker_record,
+};
 
 const JOB: &str = "00000000000000aa";
 
@@ -172,7 +174,7 @@
 #[case::in_parts("\"in_parts\"", true)]
 #[case::whole("\"whole\"", false)]
 fn planner_writes_plans_as_set(#[case] setting: &str, #[case] has_parts: bool) {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let wide_accounts = serde_json::from_str(setting).expect("a layout");
         let settings = Settings { wide_accounts, ..settings() };
         let mut rig = PlannerRig::of_workers(6);
--- a/crates/rampbay-jobs/tests/pickup_timeout.rs
+++ b/crates/rampbay-jobs/tests/pickup_timeout.rs
@@ -11,7 +11,7 @@
 use rampbay_jobs::record::ProgressReport;
 use rstest::rstest;
 use support::planner::PlannerRig;
-use support::{job, on_virtual_time, step, task};
+use support::{job, run_in_virtual_time, step, task};
 use tokio::time::{Instant, sleep};
 
 const JOB: &str = "00000000000000aa";
@@ -30,7 +30,7 @@
 #[case::in_time(2000, 1900)]
 #[case::late(3000, 1200)]
 fn time_before_assignment_not_counted(#[case] before_ms: u64, #[case] after_ms: u64) {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         report_after(&mut rig, "i-0", 100).await;
         sleep(Duration::from_millis(before_ms)).await;
--- a/crates/rampbay-jobs/tests/planner.rs
+++ b/crates/rampbay-jobs/tests/planner.rs
@@ -9,7 +9,7 @@
 use rampbay_jobs::record::{EndReason, ProgressReport, Record, RunEnd, WorkerRecord};
 use rstest::rstest;
 use support::planner::{PlannerRig, gang, progress};
-use support::{job, on_virtual_time, step, task, worker_record};
+use support::{job, run_in_virtual_time, step, task, worker_record};
 use tokio::time::Instant;
 
 const JOB: &str = "00000000000000aa";
@@ -18,7 +18,7 @@
 
 #[test]
 fn gang_placed_whole() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         rig.submit(job(JOB, 1, gang(2, 8)));
         rig.plan();
@@ -29,7 +29,7 @@
 
 #[test]
 fn gang_without_room_not_placed_in_part() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         rig.submit(job(JOB, 1, gang(3, 8)));
         rig.plan();
@@ -39,7 +39,7 @@
 
 #[test]
 fn gang_wanting_rack_placed_in_one() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(6);
         rig.submit(job(JOB, 1, Step { same_rack: true, ..gang(3, 8) }));
         rig.plan();
@@ -54,7 +54,7 @@
 /// The worker was evicted again after each return. Seen on the bench.
 #[test]
 fn new_worker_without_report_not_evicted() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.advance(Duration::from_secs(20)).await;
         rig.put(&Record::Worker("i-new".to_owned(), Box::new(worker_record("side", "r1", 8))));
@@ -68,7 +68,7 @@
 
 #[test]
 fn silent_worker_evicted_then_removed() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 1)));
         rig.plan();
@@ -93,7 +93,7 @@
 /// The agent's machine is removed soon after the worker's deregistration, so the agent reports nothing more.
 #[test]
 fn departed_worker_removed_after_leases() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         rig.submit(job(JOB, 1, step(1, 8)));
         rig.advance(Duration::from_secs(1)).await;
@@ -119,7 +119,7 @@
 /// Guards against assigning urgent work to a worker that was lost during an outage of the reports. Seen on the bench.
 #[test]
 fn worker_without_report_since_outage_avoided() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         rig.advance(Duration::from_secs(1)).await;
         // No report can be read for a while; then only one agent reports.
@@ -134,7 +134,7 @@
 /// While no reports can be read, no agent counts as silent.
 #[test]
 fn unreadable_reports_evict_no_worker() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.advance(Duration::from_secs(1)).await;
         tokio::time::sleep(Duration::from_secs(30)).await;
@@ -146,7 +146,7 @@
 /// Guards against a worker that fails every run: it was always free, and was assigned job after job. Seen on the bench.
 #[test]
 fn failing_worker_blocked() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         for (number, id) in [JOB, OTHER].iter().enumerate() {
             rig.submit(job(id, 1, step(1, 8)));
@@ -170,7 +170,7 @@
 /// A job that fails wherever it runs blocks no worker.
 #[test]
 fn job_failing_everywhere_blocks_no_worker() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(3);
         for id in [JOB, OTHER] {
             rig.submit(job(id, 1, step(1, 8)));
@@ -189,7 +189,7 @@
 
 #[test]
 fn guaranteed_job_stops_borrower() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.guarantee(8);
         rig.submit(job(JOB, 1, step(1, 8)));
@@ -207,7 +207,7 @@
 
 #[test]
 fn capacity_being_freed_reserved_for_guaranteed_job() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.guarantee(8);
         rig.submit(job(JOB, 1, step(2, 4)));
@@ -225,7 +225,7 @@
 #[case::once(1, JobStatus::Running)]
 #[case::too_often(3, JobStatus::Failed)]
 fn gang_failures_counted_once_a_run(#[case] failures: u32, #[case] status: JobStatus) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let mut rig = PlannerRig::of_workers(6);
         rig.submit(job(JOB, 1, gang(2, 8)));
         for _ in 0..failures {
@@ -240,7 +240,7 @@
 
 #[test]
 fn gang_members_share_attempt() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(4);
         rig.submit(job(JOB, 1, gang(2, 8)));
         rig.plan();
@@ -256,7 +256,7 @@
 
 #[test]
 fn dependent_step_waits() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         let mut submission = job(JOB, 1, step(2, 1));
         submission.steps.push(Step { depends_on: vec![0], ..step(1, 1) });
@@ -277,7 +277,7 @@
 
 #[test]
 fn cancelled_job_stopped() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 1)));
         rig.plan();
@@ -290,7 +290,7 @@
 
 #[test]
 fn stale_end_removed_without_effect() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 1)));
         rig.plan();
@@ -309,7 +309,7 @@
 
 #[test]
 fn timed_job_starts_when_due() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         let timed = Submission {
             first_run_ms: 5_000,
@@ -340,7 +340,7 @@
 /// once. Seen on the bench.
 #[test]
 fn wide_urgent_step_keeps_freed_capacity() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         rig.submit(job(JOB, 1, step(4, 4)));
         rig.plan();
@@ -359,7 +359,7 @@
 
 #[test]
 fn ended_job_removed_later() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 1)));
         rig.plan();
@@ -378,7 +378,7 @@
 /// reports had been read. Seen on the bench.
 #[test]
 fn unreadable_reports_move_no_run() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(2, 1)));
         rig.plan();
@@ -395,7 +395,7 @@
 #[case::stalled(40, TaskStatus::Stopping)]
 #[case::past_its_estimate(100, TaskStatus::Running)]
 fn same_progress_reported(#[case] percent: u32, #[case] expected: TaskStatus) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 1)));
         rig.plan();
--- a/crates/rampbay-jobs/tests/power_losses.rs
+++ b/crates/rampbay-jobs/tests/power_losses.rs
@@ -22,7 +22,7 @@
 use rstest::rstest;
 use support::acknowledged::{AcknowledgedEnds, assert_runs_once};
 use support::site::{Site, Work};
-use support::{on_virtual_time, step, table_of};
+use support::{run_in_virtual_time, step, table_of};
 use tokio::time::{Instant, sleep};
 
 const MACHINES: usize = 6;
@@ -36,7 +36,7 @@
 #[case::of_leader_too(true)]
 #[case::of_workers_and_agents(false)]
 fn job_after_power_losses_starts_soon(#[case] of_leader: bool) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let site = Site::start(MACHINES);
         sleep(STARTS_WITHIN).await;
         let spread = Step { max_per_worker: 1, ..step(MACHINES as u32, 1) };
@@ -59,7 +59,7 @@
 /// recognized as a power loss by themselves.
 #[test]
 fn power_losses_removed_one_by_one() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let machines = 5;
         let site = Site::start(machines);
         sleep(STARTS_WITHIN).await;
@@ -83,7 +83,7 @@
 #[case::of_leader_too(true)]
 #[case::of_workers_and_agents(false)]
 fn job_not_failed_by_power_losses(#[case] of_leader: bool) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let site = Site::start(MACHINES);
         sleep(STARTS_WITHIN).await;
         let id = "0000000000000001";
@@ -103,7 +103,7 @@
 /// late.
 #[rstest]
 fn task_with_acknowledged_end_never_starts_again(#[values(1, 2, 3, 4)] seed: u64) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let site = Site::start(4);
         let mut acknowledged = AcknowledgedEnds::watch(&site);
--- a/crates/rampbay-jobs/tests/refusals.rs
+++ b/crates/rampbay-jobs/tests/refusals.rs
@@ -10,7 +10,7 @@
 use rampbay_jobs::plan::TaskStatus;
 use rampbay_jobs::record::EndReason;
 use support::planner::{PlannerRig, gang};
-use support::{job, on_virtual_time, step, task};
+use support::{job, run_in_virtual_time, step, task};
 
 const JOB: &str = "00000000000000aa";
 /// Time between two rounds.
@@ -44,7 +44,7 @@
 /// without end.
 #[test]
 fn refused_task_assigned_twice_a_second_at_most() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 1)));
         refuse_at_first_worker(&mut rig, &["i-0"]).await;
@@ -56,7 +56,7 @@
 /// Guards against stopping and starting the other members of a gang ten times a second if it needs a refusing worker.
 #[test]
 fn gang_with_refusing_worker_assigned_twice_a_second_at_most() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(3);
         rig.submit(job(JOB, 1, gang(3, 8)));
         refuse_at_first_worker(&mut rig, &["i-0", "i-1", "i-2"]).await;
@@ -68,7 +68,7 @@
 /// A worker that refused once, since its capacity had shrunk, gets work again soon.
 #[test]
 fn worker_that_refused_once_used_again() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(1, 1)));
         rig.plan();
--- a/crates/rampbay-jobs/tests/removals.rs
+++ b/crates/rampbay-jobs/tests/removals.rs
@@ -14,7 +14,7 @@
 use rampbay_jobs::store::{BYTES_PER_APPEND, split_into_appends};
 use rampbay_jobs::table::JobTable;
 use support::planner::PlannerRig;
-use support::{job, on_virtual_time, settings, step, task};
+use support::{job, run_in_virtual_time, settings, step, task};
 
 const JOB: &str = "00000000000000aa";
 const OTHER: &str = "00000000000000ff";
@@ -35,7 +35,7 @@
 /// leaves no job that starts again.
 #[test]
 fn job_removed_with_its_plan() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let (removal, plan) = removal().await;
         let submission = Record::Submitted(Box::new(job(JOB, 1, step(1, 1))));
         let kept = [submission.encode(), Record::Plan(JOB.to_owned(), Box::new(plan)).encode()];
--- a/crates/rampbay-jobs/tests/reregistrations.rs
+++ b/crates/rampbay-jobs/tests/reregistrations.rs
@@ -24,7 +24,7 @@
 use support::store::MemoryStore;
 use support::worker::{Client, FakeWorker};
 use support::{
-    AgentRig, job, on_virtual_time, plan_of, running_plan, seed_running_job, settings, step,
+    AgentRig, job, plan_of, run_in_virtual_time, running_plan, seed_running_job, settings, step,
     table_of, task, worker_record,
 };
 use tokio::time::sleep;
@@ -66,7 +66,7 @@
 /// registration is rejected, so that its refusal of the run lands before the registration.
 #[test]
 fn refusal_before_own_registration_counts() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         seed_with_predecessor(&store);
         let mut plan = running_plan(1, WORKER, 1);
@@ -87,7 +87,7 @@
 /// As above, but the run is assigned, and the predecessor refused it right before its own end.
 #[test]
 fn refusal_of_assigned_run_before_own_registration_counts() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         seed_with_predecessor(&store);
         refuse_by_predecessor(&store);
@@ -108,7 +108,7 @@
 /// just before, lands just after.
 #[test]
 fn worker_given_up_after_return_runs_once() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
         rig.heartbeat(WORKER, 1);
@@ -151,7 +151,7 @@
 fn returned_worker_not_evicted_again(#[values(0, 50, 200)] append: u64) {
     let mut repeated = Vec::new();
     for phase in (0..1000).step_by(50) {
-        on_virtual_time(async {
+        run_in_virtual_time(async {
             let store = MemoryStore::new();
             store.append_delay.set(Duration::from_millis(append));
             let faulty_store = FaultyStore::new(&store, 0);
@@ -194,7 +194,7 @@
 #[case::of_earlier_release(0)]
 #[case::numbered(PREDECESSOR)]
 fn nothing_started_before_own_registration(#[case] number: u64) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         if number > 0 {
@@ -222,7 +222,7 @@
 /// started.
 #[test]
 fn run_assigned_during_return_handed_back() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         store.put(&Record::Submitted(Box::new(job(JOB, 1, step(1, 1)))));
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
@@ -245,7 +245,7 @@
 /// refusal.
 #[test]
 fn run_refused_by_predecessor_not_started() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         refuse_by_predecessor(&store);
@@ -260,7 +260,7 @@
 /// worker or not.
 #[test]
 fn run_of_worker_without_registration_stopped() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(WORKER));
@@ -321,7 +321,7 @@
 /// A renewal on another connection, which lists a run's end, is answered before an earlier poll.
 #[rstest]
 fn delayed_listing_doesnt_restore_ended_run(#[values(1, 20, 120)] delay_ms: u64) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 1, WORKER);
         let worker = FakeWorker::new(WORKER);
--- a/crates/rampbay-jobs/tests/rounds.rs
+++ b/crates/rampbay-jobs/tests/rounds.rs
@@ -13,7 +13,7 @@
 use rampbay_jobs::metrics::metrics;
 use rampbay_jobs::plan::TaskStatus;
 use support::planner::{PlannerRig, gang};
-use support::{job, on_virtual_time, step};
+use support::{job, run_in_virtual_time, step};
 
 /// Accelerators of a worker.
 const WORKER_DEVICES: u64 = 8;
@@ -30,7 +30,7 @@
 fn searches_for_wide_gang(workers: u32) -> u64 {
     let _guard = COUNTING.lock().expect("no test has panicked");
     let mut searches = 0;
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(workers as usize);
         rig.guarantee(WORKER_DEVICES * u64::from(workers));
         rig.submit(job(BACKGROUND, 2, step(workers, WORKER_DEVICES)));
@@ -63,7 +63,7 @@
 fn searches_for_waiting_gangs(workers: u32, gangs: u32) -> u64 {
     let _guard = COUNTING.lock().expect("no test has panicked");
     let mut searches = 0;
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(workers as usize);
         rig.submit(job(BACKGROUND, 2, step(workers, WORKER_DEVICES)));
         rig.plan();
--- a/crates/rampbay-jobs/tests/shrinking.rs
+++ b/crates/rampbay-jobs/tests/shrinking.rs
@@ -17,7 +17,7 @@
 use support::store::MemoryStore;
 use support::worker::{FakeWorker, StartFault};
 use support::{
-    AgentRig, job, on_virtual_time, plan_of, running_plan, seed_running_job, settings, step,
+    AgentRig, job, plan_of, run_in_virtual_time, running_plan, seed_running_job, settings, step,
     table_of, task, worker_record,
 };
 use tokio::task::spawn_local;
@@ -63,7 +63,7 @@
 
 #[test]
 fn shrunk_worker_starts_what_fits() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig().await;
         rig.heartbeat_with_devices(WORKER, 2, 4);
         assign_more(&rig);
@@ -75,7 +75,7 @@
 
 #[test]
 fn worker_shrunk_below_its_runs_keeps_them() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig().await;
         rig.heartbeat_with_devices(WORKER, 2, 1);
         assign_more(&rig);
@@ -92,7 +92,7 @@
 /// shrunk in between.
 #[test]
 fn repeated_start_checks_current_capacity() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig().await;
         rig.worker.observe_fencing_token(9);
         assign_more(&rig);
@@ -109,7 +109,7 @@
 /// A lost start is repeated; the capacity has shrunk in between.
 #[test]
 fn repeated_lost_start_checks_current_capacity() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig().await;
         rig.worker.start_fault.set(StartFault::FirstOrderLost);
         rig.store.put(&Record::Submitted(Box::new(job(OTHER, 1, step(1, 1)))));
@@ -127,7 +127,7 @@
 /// A run of a job that this process doesn't know holds an unknown amount of resources.
 #[test]
 fn run_of_unknown_job_blocks_other_starts() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig().await;
         rig.worker.ignores_stops.set(true);
         rig.worker.start_without_agent(&task("00000000000000dd", 0), 1);
@@ -146,7 +146,7 @@
 /// between.
 #[test]
 fn agent_without_a_heartbeat_starts_nothing() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         seed_running_job(&store, JOB, 3, WORKER);
         let rig = AgentRig::start(store, FakeWorker::new(WORKER));
@@ -165,7 +165,7 @@
 /// elsewhere.
 #[test]
 fn start_without_recent_heartbeat_refused() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = running_rig().await;
         rig.stop_heartbeats();
         sleep(Duration::from_secs(4)).await;
@@ -191,7 +191,7 @@
 
 #[test]
 fn planner_assigns_nothing_to_an_overfull_worker() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.submit(job(JOB, 1, step(2, 4)));
         rig.plan();
@@ -212,7 +212,7 @@
 /// stopped. If that doesn't help, neither is stopped.
 #[test]
 fn planner_stops_enough_on_an_overfull_worker() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.guarantee(8);
         rig.submit(job(JOB, 1, step(2, 4)));
@@ -227,7 +227,7 @@
 
 #[test]
 fn planner_stops_nothing_on_an_overfull_worker_in_vain() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(1);
         rig.guarantee(8);
         rig.submit(job(JOB, 1, step(2, 4)));
@@ -269,7 +269,7 @@
 /// A quarter of the workers shrink while more work is submitted.
 #[rstest]
 fn no_start_beyond_shrunk_capacity_while_more_work_comes(#[values(0, 1, 4, 6)] left: u64) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let site = Site::start(FLEET);
         sleep(SETTLES_WITHIN * 5).await;
         let ids: Vec<String> = (1..=60).map(|number| format!("{number:016x}")).collect();
--- a/crates/rampbay-jobs/tests/support/fleet.rs
+++ b/crates/rampbay-jobs/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A generated fleet under load, on virtual time: jobs arrive, runs progress, end, fail and are stopped.
+//! A generated fleet under load, in virtual time: jobs arrive, runs progress, end, fail and are stopped.
 //!
 //! It simulates agents and workers only as far as a planner sees them. The same seed generates the
 //! same load, so two versions of the planner can be compared decision by decision.
--- a/crates/rampbay-jobs/tests/support/mod.rs
+++ b/crates/rampbay-jobs/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! In-memory fakes of the store and of a worker, on virtual time.
+//! In-memory fakes of the store and of a worker, in virtual time.
 #![allow(dead_code, reason = "each test file uses some of the fakes")]
 
 pub mod acknowledged;
@@ -31,8 +31,8 @@
 use store::MemoryStore;
 use worker::FakeWorker;
 
-/// Runs a test on virtual time, on one thread.
-pub fn on_virtual_time<F: Future<Output = ()>>(test: F) {
+/// Runs a test in virtual time, on one thread.
+pub fn run_in_virtual_time<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
--- a/crates/rampbay-jobs/tests/suspended.rs
+++ b/crates/rampbay-jobs/tests/suspended.rs
@@ -18,7 +18,8 @@
 use support::store::{MemoryStore, StoreFault};
 use support::worker::FakeWorker;
 use support::{
-    AgentRig, job, on_virtual_time, running_plan, seed_running_job, step, suspend, table_of, task,
+    AgentRig, job, run_in_virtual_time, running_plan, seed_running_job, step, suspend, table_of,
+    task,
 };
 use tokio::time::sleep;
 
@@ -46,7 +47,7 @@
 /// given the run up, and the agent learns of that only once it reaches the store again.
 #[test]
 fn leases_not_renewed_by_view_from_before_suspension() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let (rig, connection) = running_rig().await;
         connection.cut.set(true);
         sleep(SETTLE_TIME).await;
@@ -59,7 +60,7 @@
 
 #[test]
 fn leases_renewed_once_store_is_reached_again() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let (rig, _connection) = running_rig().await;
         suspend(SUSPENDED);
         for beat in 2..10 {
@@ -73,7 +74,7 @@
 /// A start that waits for a newer fencing token isn't made by a view from before the suspension.
 #[test]
 fn nothing_started_by_view_from_before_suspension() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let (rig, connection) = running_rig().await;
         rig.worker.observe_fencing_token(9);
         rig.store.put(&Record::Submitted(Box::new(job(OTHER, 1, step(1, 1)))));
@@ -92,7 +93,7 @@
 /// An entry that wakes, and can't reach the store, asks callers to retry: their keys may have been removed.
 #[test]
 fn callers_refused_by_configuration_from_before_suspension() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = IntakeRig::start();
         sleep(SETTLE_TIME).await;
         let waits = Duration::from_millis(300);
@@ -114,7 +115,7 @@
 /// The clock by which the leader waits stands still during a suspension: the rest of a wait passes after the wake.
 #[test]
 fn evicted_worker_not_given_up_sooner() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(2);
         rig.submit(job(JOB, 1, step(1, 1)));
         rig.plan();
@@ -133,7 +134,7 @@
 /// All machines are suspended and wake together: nothing is given up, and nothing runs twice.
 #[test]
 fn run_goes_on_after_all_machines_wake() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let (rig, _connection) = running_rig().await;
         rig.store.put(&Record::Leader(Leader { node: "entry-1".to_owned(), epoch: 8 }));
         for beat in 0..3 {
--- a/crates/rampbay-jobs/tests/unreported_runs.rs
+++ b/crates/rampbay-jobs/tests/unreported_runs.rs
@@ -11,7 +11,7 @@
 use rampbay_jobs::record::{EndReason, ProgressReport};
 use rstest::rstest;
 use support::planner::{PlannerRig, gang, progress};
-use support::{job, on_virtual_time, step, task};
+use support::{job, run_in_virtual_time, step, task};
 use tokio::time::{Instant, sleep};
 
 const JOB: &str = "00000000000000aa";
@@ -39,7 +39,7 @@
 #[case::soon_after(3, TaskStatus::Running)]
 #[case::for_long(7, TaskStatus::Stopping)]
 fn run_without_report(#[case] reports: u32, #[case] expected: TaskStatus) {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = rig_with_run();
         let instance = rig.instance_of(&task(JOB, 0));
         report(&mut rig, &instance, reports, false).await;
@@ -49,7 +49,7 @@
 
 #[test]
 fn run_not_picked_up_placed_elsewhere_once_stopped() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = rig_with_run();
         let instance = rig.instance_of(&task(JOB, 0));
         for _ in 0..7 {
@@ -67,7 +67,7 @@
 
 #[test]
 fn run_reported_once_stays() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = rig_with_run();
         let instance = rig.instance_of(&task(JOB, 0));
         report(&mut rig, &instance, 2, false).await;
@@ -80,7 +80,7 @@
 /// An agent that hasn't reported for a while may not have been able to learn of the run either.
 #[test]
 fn time_without_reports_not_counted() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = rig_with_run();
         let instance = rig.instance_of(&task(JOB, 0));
         report(&mut rig, &instance, 2, false).await;
@@ -93,7 +93,7 @@
 /// A gang doesn't wait for a member that is never picked up: it is stopped and placed again as a whole.
 #[test]
 fn gang_with_member_not_picked_up_stopped() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let mut rig = PlannerRig::of_workers(3);
         rig.submit(job(JOB, 1, gang(2, 8)));
         rig.plan();
--- a/crates/rampbay-jobs/tests/worker_restarts.rs
+++ b/crates/rampbay-jobs/tests/worker_restarts.rs
@@ -15,7 +15,9 @@
 use rstest::rstest;
 use support::store::MemoryStore;
 use support::worker::{FakeWorker, LateCalls};
-use support::{AgentRig, job, on_virtual_time, plan_of, seed_running_job, step, table_of, task};
+use support::{
+    AgentRig, job, plan_of, run_in_virtual_time, seed_running_job, step, table_of, task,
+};
 use tokio::time::sleep;
 
 const FIRST_JOB: &str = "00000000000000aa";
@@ -60,7 +62,7 @@
 
 #[test]
 fn end_with_reused_number_stored() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = after_first_run().await;
         rig.worker.replace(NEW);
         rig.heartbeat(NEW, 1);
@@ -78,7 +80,7 @@
 /// The previous incarnation ends once the new one answers.
 #[test]
 fn previous_incarnation_ended_by_listing() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = after_first_run().await;
         rig.stop_heartbeats();
         rig.worker.replace(NEW);
@@ -91,7 +93,7 @@
 /// of an idle worker, which follow each other every two seconds.
 #[rstest]
 fn previous_incarnation_ended_by_heartbeat(#[values(100, 700, 1300, 1900)] since_look_ms: u64) {
-    on_virtual_time(async move {
+    run_in_virtual_time(async move {
         let rig = after_first_run().await;
         sleep(Duration::from_millis(since_look_ms)).await;
         rig.worker.replace(NEW);
@@ -105,7 +107,7 @@
 /// for the previous incarnation and reaches the new one acknowledges nothing.
 #[test]
 fn previous_incarnation_acknowledges_nothing_at_next_one() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = after_first_run().await;
         rig.stop_heartbeats();
         rig.worker.replace(NEW);
@@ -116,7 +118,7 @@
 
 #[test]
 fn heartbeat_of_previous_incarnation_ignored() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = after_first_run().await;
         rig.worker.replace(NEW);
         rig.heartbeat(NEW, 1);
@@ -133,7 +135,7 @@
 /// then starts it elsewhere.
 #[test]
 fn run_of_previous_incarnation_stopped_at_next_one() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = after_first_run().await;
         assign(&rig.store, SECOND_JOB, OLD);
         rig.stop_heartbeats();
@@ -152,7 +154,7 @@
 /// machine follows.
 #[test]
 fn run_of_previous_incarnation_stopped_by_next_agent() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = after_first_run().await;
         let (store, worker) = (Rc::clone(&rig.store), Rc::clone(&rig.worker));
         rig.kill();
@@ -177,7 +179,7 @@
 /// and the job never ends.
 #[test]
 fn end_stored_despite_late_acknowledgement_of_previous_incarnation() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let store = MemoryStore::new();
         let rig = AgentRig::start(Rc::clone(&store), FakeWorker::new(OLD));
         rig.heartbeat(OLD, 41);
@@ -208,7 +210,7 @@
 /// reassigned in the meantime, is carried out late by the next incarnation.
 #[test]
 fn late_start_for_previous_incarnation_not_carried_out() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = after_first_run().await;
         rig.worker.late_calls.set(Some(LateCalls::Starts(LATE)));
         assign(&rig.store, SECOND_JOB, OLD);
@@ -227,7 +229,7 @@
 /// its own. An unanswered call delayed the following calls by a second.
 #[test]
 fn next_incarnation_reached_soon_after_first_calls_are_lost() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = after_first_run().await;
         rig.worker.replace(NEW);
         rig.worker.silent.set(true);
@@ -243,7 +245,7 @@
 /// reassigned in the meantime, is carried out by an incarnation that its agent hasn't reached yet.
 #[test]
 fn unreached_life_starts_nothing() {
-    on_virtual_time(async {
+    run_in_virtual_time(async {
         let rig = after_first_run().await;
         rig.worker.late_calls.set(Some(LateCalls::Starts(LATE)));
         assign(&rig.store, SECOND_JOB, OLD);
