--- a/crates/rampbay-jobs/src/agent.rs
+++ b/crates/rampbay-jobs/src/agent.rs
@@ -174,14 +174,14 @@
         }
     }
 
-    /// Handles a deregistration: marks the most recently discovered incarnation that satisfies
-    /// `is_meant` and hasn't ended as leaving.
+    /// Handles a deregistration: marks as departed the most recently discovered incarnation that
+    /// satisfies `is_meant` and hasn't ended.
     pub fn deregister(&self, is_meant: impl Fn(&str) -> bool) {
         let incarnations = self.incarnations.borrow();
         let meant = incarnations
             .values()
             .filter(|incarnation| is_meant(&incarnation.instance) && !incarnation.has_ended());
-        let latest = meant.max_by(|one, other| one.discovered_before(other)).cloned();
+        let latest = meant.max_by(|one, other| one.compare_discovery(other)).cloned();
         drop(incarnations);
         if let Some(incarnation) = latest {
             incarnation.deregister();
--- a/crates/rampbay-jobs/src/agent/ends.rs
+++ b/crates/rampbay-jobs/src/agent/ends.rs
@@ -113,7 +113,7 @@
             instance: self.instance.clone(),
         };
         let key = if end.reason == EndReason::NotStarted {
-            refusal_key(&end, self.stored_number.get().unwrap_or_default())
+            refusal_key(&end, self.stored_registration_number.get().unwrap_or_default())
         } else {
             end_key(&end)
         };
--- a/crates/rampbay-jobs/src/agent/incarnation.rs
+++ b/crates/rampbay-jobs/src/agent/incarnation.rs
@@ -56,9 +56,9 @@
     pub(super) clock: Cell<Option<(WorkerMillis, Instant)>>,
     /// Whether the worker has listed its runs at least once.
     pub(super) listed: Cell<bool>,
-    /// Number of the last listed end that the store holds.
+    /// Number of the last end of a run, in the worker's list, that the store holds.
     pub(super) last_seen: Cell<u64>,
-    /// Number of the last listed end that was acknowledged, so that the worker may forget it.
+    /// Number of the last end that was acknowledged to the worker, which may forget it then.
     pub(super) acknowledged: Cell<u64>,
     /// Whether an append of listed ends is in flight.
     pub(super) listed_append_in_flight: Cell<bool>,
@@ -77,16 +77,18 @@
     pub(super) last_heartbeat: Cell<Option<Moment>>,
     pub(super) record: RefCell<WorkerRecord>,
     /// Number of the last registration by this process that the store accepted.
-    pub(super) stored_number: Cell<Option<RegistrationNumber>>,
-    /// Number of this process's registration, once it has taken one.
-    pub(super) number: Cell<Option<RegistrationNumber>>,
+    pub(super) stored_registration_number: Cell<Option<RegistrationNumber>>,
+    /// Number that this process registers the incarnation under, accepted by the store or not;
+    /// `None` before the first registration.
+    pub(super) registration_number: Cell<Option<RegistrationNumber>>,
     /// Whether the table held the worker at the last check.
     pub(super) was_registered: Cell<bool>,
     /// Reason for which assigned runs are held back, as logged last.
     pub(super) logged_held_back: Cell<Option<HeldBack>>,
-    sequence: Cell<u64>,
-    /// When the worker was found to be leaving. Its leases are never renewed again.
-    leaving_since: Cell<Option<Instant>>,
+    /// Highest sequence number of a heartbeat that was handled.
+    heartbeat_sequence: Cell<u64>,
+    /// When the worker was found to have departed. Its leases are never renewed again.
+    departed_since: Cell<Option<Instant>>,
     /// Whether the worker has deregistered.
     has_deregistered: Cell<bool>,
     end_cause: Cell<Option<EndCause>>,
@@ -105,7 +107,7 @@
         worker: Rc<dyn Worker>,
     ) -> Rc<Self> {
         let now = Instant::now();
-        let leaving_since = record.departed.then_some(now);
+        let departed_since = record.departed.then_some(now);
         Rc::new(Self {
             instance,
             parts,
@@ -124,12 +126,12 @@
             discovered: Moment::now(),
             last_heartbeat: Cell::new(None),
             record: RefCell::new(record),
-            stored_number: Cell::new(None),
-            number: Cell::new(None),
+            stored_registration_number: Cell::new(None),
+            registration_number: Cell::new(None),
             was_registered: Cell::new(false),
             logged_held_back: Cell::new(None),
-            sequence: Cell::new(0),
-            leaving_since: Cell::new(leaving_since),
+            heartbeat_sequence: Cell::new(0),
+            departed_since: Cell::new(departed_since),
             has_deregistered: Cell::new(false),
             end_cause: Cell::new(None),
             successor: RefCell::default(),
@@ -138,13 +140,14 @@
         })
     }
 
-    /// Handles a heartbeat; only its arrival counts if a later one has been handled.
+    /// Handles a heartbeat. If a later one has been handled before, this one only shows that the
+    /// worker could be heard.
     pub(super) fn handle_heartbeat(&self, sequence: u64, record: WorkerRecord) {
         self.last_contact.set(Moment::now());
-        if sequence < self.sequence.get() {
+        if sequence < self.heartbeat_sequence.get() {
             return;
         }
-        self.sequence.set(sequence);
+        self.heartbeat_sequence.set(sequence);
         self.last_heartbeat.set(Some(Moment::now()));
         let mut known = self.record.borrow_mut();
         if !known.draining && record.draining {
@@ -166,12 +169,12 @@
         }
     }
 
-    /// Compares by when this process discovered the incarnations.
-    pub(super) fn discovered_before(&self, other: &Self) -> std::cmp::Ordering {
+    /// Compares the times at which this process discovered two incarnations.
+    pub(super) fn compare_discovery(&self, other: &Self) -> std::cmp::Ordering {
         self.discovered.cmp(&other.discovered)
     }
 
-    /// Handles the worker's deregistration: it ends now.
+    /// Handles the worker's deregistration, which announces that it ends now.
     pub(super) fn deregister(&self) {
         log::info!("event=J162 worker deregistered worker={}", self.instance);
         self.has_deregistered.set(true);
@@ -187,7 +190,7 @@
             let record = self.record.borrow();
             record.draining && record.leaves_at <= (self.parts.wall_clock)()
         };
-        if notice_has_ended && self.leaving_since.get().is_none() {
+        if notice_has_ended && self.departed_since.get().is_none() {
             log::warn!(
                 "event=J178 worker refuses connections after its notice period worker={} runs={}",
                 self.instance,
@@ -198,7 +201,7 @@
     }
 
     fn mark_departed(&self) {
-        self.leaving_since.set(Some(Instant::now()));
+        self.departed_since.set(Some(Instant::now()));
         {
             let mut record = self.record.borrow_mut();
             record.draining = true;
@@ -207,10 +210,11 @@
         self.parts.freshness.notify();
     }
 
-    /// Ends the incarnation because another one of the worker is known, by its id if `by` tells it.
-    pub(super) fn replace(&self, by: Option<InstanceId>) {
-        if by.is_some() {
-            self.successor.replace(by);
+    /// Ends the incarnation because another one of the worker is known. `successor` is the id of
+    /// the other one, if known.
+    pub(super) fn replace(&self, successor: Option<InstanceId>) {
+        if successor.is_some() {
+            self.successor.replace(successor);
         }
         self.end(EndCause::Replaced);
     }
@@ -255,15 +259,17 @@
         matches!(self.end_cause.get(), Some(EndCause::Replaced | EndCause::Left))
     }
 
-    /// Returns whether nothing is lost if this process ends now: the store holds all ends of runs,
-    /// and a departure.
+    /// Returns whether nothing is lost if this process ends now: no departure, no end of the
+    /// incarnation and no end of a run is still to be written to the store.
     pub(super) fn is_settled(&self) -> bool {
-        self.leaving_since.get().is_none() && !self.has_ended() && self.appends_in_flight.get() == 0
+        self.departed_since.get().is_none()
+            && !self.has_ended()
+            && self.appends_in_flight.get() == 0
     }
 
-    /// Returns whether the worker is draining or leaving.
+    /// Returns whether the worker is draining or has departed.
     pub(super) fn is_draining(&self) -> bool {
-        self.record.borrow().draining || self.leaving_since.get().is_some()
+        self.record.borrow().draining || self.departed_since.get().is_some()
     }
 
     /// Returns whether operators have drained the worker's failure domain. Checked before each
@@ -277,7 +283,7 @@
     pub(super) fn may_renew(&self) -> bool {
         let table = self.parts.table.borrow();
         !table.evicted.contains(&self.instance)
-            && self.leaving_since.get().is_none()
+            && self.departed_since.get().is_none()
             && self.parts.freshness.is_within(self.parts.settings.max_renewal_table_age)
             && self.last_contact.get().elapsed() < self.parts.settings.silence_timeout
     }
@@ -287,8 +293,8 @@
         self.lease_sent.get().elapsed() > self.parts.settings.lease_expiry
     }
 
-    /// Returns until when a lease may last, by the worker's clock; `None` before the worker's first
-    /// listing.
+    /// Returns the time, by the worker's clock, at which a lease that is granted now ends; `None`
+    /// before the worker has listed its runs for the first time.
     pub(super) fn lease_until(&self) -> Option<WorkerMillis> {
         let (clock, at) = self.clock.get()?;
         let now = clock + at.elapsed().as_millis() as u64;
@@ -363,12 +369,12 @@
         self.unregister().await;
     }
 
-    /// Ends a leaving incarnation once its leases have certainly expired, or once nothing listens
+    /// Ends a departed incarnation once its leases have certainly expired, or once nothing listens
     /// at its address after a deregistration. Without a deregistration a refused call proves
     /// nothing: the runs may outlive the listener.
     async fn watch_departure(self: &Rc<Self>) {
         while !self.has_ended() {
-            if self.leaving_since.get().is_none() {
+            if self.departed_since.get().is_none() {
                 tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
--- a/crates/rampbay-jobs/src/agent/registering.rs
+++ b/crates/rampbay-jobs/src/agent/registering.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::keys::worker_key;
-use crate::losses::LifeOver;
+use crate::losses::IncarnationEnd;
 use crate::record::{KeyedRecord, Record, STATE_TOPIC, encode, removal};
 use crate::registrations::{RegistrationNumber, next_number, number_at};
 use crate::store::Offset;
@@ -37,7 +37,7 @@
             let records = self.registration_records();
             match self.parts.store.append(STATE_TOPIC, &records, None).await {
                 Ok(end) => {
-                    self.stored_number.set(self.number.get());
+                    self.stored_registration_number.set(self.registration_number.get());
                     self.log_registered(end, records.len());
                     self.parts.freshness.reach(end).await;
                 }
@@ -69,7 +69,7 @@
         log::info!(
             "event=J173 worker registered worker={} number={} position={position} records={records}",
             self.instance,
-            self.number.get().unwrap_or_default()
+            self.registration_number.get().unwrap_or_default()
         );
     }
 
@@ -78,15 +78,17 @@
     fn take_number(&self, table: &JobTable) -> RegistrationNumber {
         let is_returning =
             table.evicted.contains(&self.instance) || !table.workers.contains_key(&self.instance);
-        let number = match self.number.get() {
+        let number = match self.registration_number.get() {
             None => number_at(self.parts.freshness.position(), (self.parts.wall_clock)()),
-            Some(number) if is_returning && self.stored_number.get() == Some(number) => {
+            Some(number)
+                if is_returning && self.stored_registration_number.get() == Some(number) =>
+            {
                 next_number(number)
             }
             Some(number) => number,
         };
         let number = table.registrations().above_ended(&self.instance, number);
-        self.number.set(Some(number));
+        self.registration_number.set(Some(number));
         number
     }
 
@@ -97,7 +99,7 @@
             let table = self.parts.table.borrow();
             table.registrations().newest(&self.instance).map(|(number, _)| number)
         };
-        let own = self.number.get();
+        let own = self.registration_number.get();
         if own.is_some() && newest > own {
             log::warn!(
                 "event=J175 worker registered by another process worker={} number={newest:?} own={own:?}",
@@ -116,7 +118,7 @@
 
     fn is_registered_in(&self, table: &JobTable) -> bool {
         let newest = table.registrations().newest(&self.instance);
-        newest.is_some_and(|(number, _)| Some(number) == self.number.get())
+        newest.is_some_and(|(number, _)| Some(number) == self.registration_number.get())
     }
 
     /// Logs once when the table no longer holds the worker although the incarnation goes on.
@@ -153,16 +155,17 @@
 
     fn is_sole_registration(&self, table: &JobTable) -> bool {
         let mut numbers = table.registrations().numbers(&self.instance);
-        let own = self.number.get();
+        let own = self.registration_number.get();
         self.is_registered_in(table) && numbers.all(|number| number == 0 || Some(number) == own)
     }
 
     /// Returns the records that end all known registrations of the worker, including any of them
-    /// that land later.
+    /// that are appended later.
     fn removal_records(&self) -> Vec<KeyedRecord> {
         let table = self.parts.table.borrow();
         let known = table.registrations().numbers(&self.instance);
-        let numbers: BTreeSet<RegistrationNumber> = known.chain(self.number.get()).collect();
+        let numbers: BTreeSet<RegistrationNumber> =
+            known.chain(self.registration_number.get()).collect();
         let newest = numbers.last().copied();
         let registrations_end =
             newest.map(|number| Record::Over(self.instance.clone(), number).encode());
@@ -180,9 +183,9 @@
     }
 
     /// Returns how the incarnation ended and which runs may have crashed it, for the leader.
-    fn describe_end(&self) -> LifeOver {
+    fn describe_end(&self) -> IncarnationEnd {
         let runs = self.listed.get().then(|| self.runs.borrow().unfinished());
-        LifeOver { gave_notice: self.is_draining(), runs }
+        IncarnationEnd { gave_notice: self.is_draining(), runs }
     }
 
     /// Ends all registrations of the worker, and waits until the table shows that.
--- a/crates/rampbay-jobs/src/leader.rs
+++ b/crates/rampbay-jobs/src/leader.rs
@@ -24,13 +24,15 @@
 /// two share 12 bits in a third of all deployments, and 20 bits in one of 600. More bits would
 /// leave fewer for the term, since fencing tokens may be read as floating-point numbers (53 bits).
 const EPOCH_SALT_BITS: u32 = 20;
-/// Longest time between two rounds, for work that becomes due by time alone.
-const IDLE_ROUND: Duration = Duration::from_millis(200);
-/// Shortest time between two rounds, so that records are appended in groups.
-const ROUND_GAP: Duration = Duration::from_millis(10);
-/// A round may take at most one part in this many of the leader's wall time: leadership renewals,
-/// reads and callers share its thread.
-const ROUND_SHARE: u32 = 4;
+/// Longest wait for a change of the table after a round without decisions. Work that becomes due by
+/// time alone is found in the round after this wait.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Shortest time between the starts of two rounds, so that records are appended in groups.
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(10);
+/// Shortest time between the starts of two rounds, as a multiple of the time that the first one
+/// takes. It limits the share of the leader's thread that rounds take from leadership renewals,
+/// reads and callers.
+const ROUND_INTERVAL_FACTOR: u32 = 4;
 /// Pause before an unanswered append is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
@@ -130,8 +132,7 @@
     mut planner: Planner,
     progress: &RefCell<ProgressTable>,
 ) -> Result<std::convert::Infallible, Deposed> {
-    // The epoch is derived from the state: taken before the state is read, it might be lower than
-    // the last leader's.
+    // The new epoch must be higher than the last leader's, which is known once the state is read.
     parts.candidate.freshness.first_read().await;
     let epoch = next_epoch(generation, parts.table.borrow().leader.epoch, parts.candidate.salt);
     let fence = Fence { writer: WRITER.to_owned(), epoch, sequence: 0 };
@@ -147,16 +148,16 @@
         let records = decide(parts, &mut planner, progress, started.elapsed());
         let took = round_started.elapsed();
         metrics().round_seconds.observe(took.as_secs_f64());
-        let gap = ROUND_GAP.max(took * ROUND_SHARE);
+        let interval = MIN_ROUND_INTERVAL.max(took * ROUND_INTERVAL_FACTOR);
         let idle = records.is_empty();
         for group in split_into_appends(&records) {
             let end = writer.append(group).await?;
             parts.candidate.freshness.reach(end).await;
         }
         if idle {
-            let _ = tokio::time::timeout(IDLE_ROUND, changes.changed()).await;
+            let _ = tokio::time::timeout(IDLE_TIMEOUT, changes.changed()).await;
         }
-        tokio::time::sleep_until(round_started + gap).await;
+        tokio::time::sleep_until(round_started + interval).await;
     }
 }
 
@@ -170,13 +171,13 @@
     metrics().active_jobs.set(table.active.len() as i64);
     let progress = progress.borrow();
     let routing = parts.routing.get().unwrap_or_default();
-    let operators = &parts.routing.freshness;
-    let drained = parts.routing.drains.view(operators.position());
+    let orders_freshness = &parts.routing.freshness;
+    let drained = parts.routing.drains.view(orders_freshness.position());
     planner.round(&RoundInputs {
         table: &table,
         routing: &routing,
         drained: &drained,
-        drain_orders_age: operators.age(),
+        drain_orders_age: orders_freshness.age(),
         progress: &progress,
         now,
         wall: (parts.wall_clock)(),
--- a/crates/rampbay-jobs/src/lib.rs
+++ b/crates/rampbay-jobs/src/lib.rs
@@ -1,15 +1,17 @@
 //! Jobs of many tasks, kept in an append-only store.
 //!
-//! Every process follows one topic of the store into a [`table::JobTable`], a pure function of the
-//! records. Callers' jobs are appended by an [`intake::Intake`]; one [`leader`], elected through the
-//! store, appends decisions of the [`planner::Planner`] under an epoch that fences older planners;
-//! the [`agent`] of each worker carries out what the table says and appends how runs end.
+//! Every process reads one topic of the store and applies its records to a [`table::JobTable`],
+//! which depends on nothing but these records. Callers' jobs are appended by an [`intake::Intake`];
+//! one [`leader`], elected through the store, appends decisions of the [`planner::Planner`] under
+//! an epoch that fences older planners; the [`agent`] of each worker carries out what the table
+//! says and appends how runs end.
 //!
 //! A decision is in the store before an order is sent to a worker, and the end of a run is in the
 //! store before its worker may forget it. So a planner that takes over knows every run that may
 //! exist, and only the store has to be durable.
 //!
-//! Read [`job`], [`plan`], [`record`], [`parts`], [`table`], then [`planner`] and [`agent`].
+//! Suggested reading order: [`job`], [`plan`], [`record`], [`parts`], [`table`], then [`planner`]
+//! and [`agent`].
 
 pub mod agent;
 pub mod candidacy;
--- a/crates/rampbay-jobs/src/losses.rs
+++ b/crates/rampbay-jobs/src/losses.rs
@@ -28,7 +28,7 @@
 
 /// How a worker's incarnation ended, as its agent or the leader knew it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LifeOver {
+pub struct IncarnationEnd {
     /// Whether the worker had given notice that it leaves. Its lost runs then don't make any task suspect.
     pub gave_notice: bool,
     /// Runs that may have begun there; `None` if unknown, so that all assigned runs may have begun.
--- a/crates/rampbay-jobs/src/plan.rs
+++ b/crates/rampbay-jobs/src/plan.rs
@@ -20,7 +20,7 @@
     Failed,
 }
 
-/// The plan of a task.
+/// State of a task and its runs, in the plan of its job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskPlan {
     /// State of the task.
@@ -154,13 +154,13 @@
         occurrence.steps.get_mut(id.step as usize)?.get_mut(id.index as usize)
     }
 
-    /// Iterates over the workers where runs of its tasks may exist, once for each such run.
+    /// Iterates over the workers where runs of the job's tasks may exist, once for each such run.
     pub fn workers(&self) -> impl Iterator<Item = &InstanceId> {
         let tasks = self.open.iter().flat_map(|open| open.steps.iter().flatten());
         tasks.filter(|task| task.may_be_running()).map(|task| &task.instance)
     }
 
-    /// Returns whether a run of one of its tasks may exist.
+    /// Returns whether a run of one of the job's tasks may exist.
     #[must_use]
     pub fn may_be_running(&self) -> bool {
         self.workers().next().is_some()
--- a/crates/rampbay-jobs/src/planner.rs
+++ b/crates/rampbay-jobs/src/planner.rs
@@ -118,8 +118,8 @@
     evicted_since: BTreeMap<InstanceId, Duration>,
     departed_since: BTreeMap<InstanceId, Duration>,
     known_since: BTreeMap<InstanceId, Duration>,
-    /// Whether the known drain orders were recent enough in the last round.
-    drain_orders_known: bool,
+    /// Whether the drain orders were recent enough to assign runs in the last round.
+    drain_orders_recent: bool,
     ended_since: BTreeMap<JobId, Duration>,
     /// When this planner learned that the registrations of a worker have ended.
     registrations_ended_since: BTreeMap<InstanceId, Duration>,
@@ -171,7 +171,7 @@
             evicted_since: BTreeMap::new(),
             departed_since: BTreeMap::new(),
             known_since: BTreeMap::new(),
-            drain_orders_known: true,
+            drain_orders_recent: true,
             ended_since: BTreeMap::new(),
             registrations_ended_since: BTreeMap::new(),
             next_expiry_check: Duration::ZERO,
@@ -204,7 +204,7 @@
         evict::remove_departed(self, &mut draft, inputs);
         self.speeds.update(&draft, inputs, &self.forecasts);
         watch::move_runs(self, &mut draft, &workers, inputs);
-        let waits = if drain::check_orders_known(self, inputs) {
+        let waits = if drain::check_orders_recent(self, inputs) {
             place::place(self, &mut draft, &workers, inputs)
         } else {
             Vec::new()
--- a/crates/rampbay-jobs/src/planner/displace.rs
+++ b/crates/rampbay-jobs/src/planner/displace.rs
@@ -20,7 +20,7 @@
 pub enum Scope {
     /// In one rack.
     OneRack,
-    /// In one rack if the step wants that and it is possible, anywhere otherwise.
+    /// Anywhere; a step that asks for one rack gets one if possible.
     Anywhere,
 }
 
@@ -55,8 +55,8 @@
 
 /// Returns the work that may be lost for `count` tasks of a step, in thousandths of core-seconds.
 pub fn allowed_for(waiting: &WaitingStep, count: usize, inputs: &RoundInputs<'_>) -> u64 {
-    let all = lost_work_allowed(waiting, inputs.wall);
-    all / waiting.tasks.len().max(1) as u64 * count as u64
+    let allowed_for_step = lost_work_allowed(waiting, inputs.wall);
+    allowed_for_step / waiting.tasks.len().max(1) as u64 * count as u64
 }
 
 /// Stops the victims of a preemption unless it costs more than `allowed`, and reserves their
@@ -116,23 +116,23 @@
 
 /// Returns whether more workers may be held for a gang.
 pub fn may_hold(fleet: &FleetState) -> bool {
-    fleet.held < max_held(fleet)
+    fleet.held_workers < max_held(fleet)
 }
 
-/// Holds the workers where a gang will fit once the less urgent runs there have ended: no less
-/// urgent work is placed on them.
+/// Holds workers for a gang that will fit there once less urgent runs have ended. Until then, no
+/// work that is less urgent than the gang is placed on these workers.
 pub fn hold_workers(fleet: &mut FleetState, waiting: &WaitingStep, preemption: &Preemption) {
-    let most = max_held(fleet);
+    let limit = max_held(fleet);
     let mut places = preemption.places.clone();
     places.sort_unstable();
     places.dedup();
-    if fleet.held + places.len() > most {
+    if fleet.held_workers + places.len() > limit {
         return;
     }
     for place in places {
         let worker = &mut fleet.workers[place];
         let priority = waiting.submission.priority;
-        fleet.held += usize::from(worker.held_for.is_none());
-        worker.held_for = Some(worker.held_for.map_or(priority, |held| held.min(priority)));
+        fleet.held_workers += usize::from(worker.held_for.is_none());
+        worker.held_for = Some(worker.held_for.map_or(priority, |other| other.min(priority)));
     }
 }
--- a/crates/rampbay-jobs/src/planner/drain.rs
+++ b/crates/rampbay-jobs/src/planner/drain.rs
@@ -1,6 +1,6 @@
 //! Keeps new work away from the failure domains that operators have drained.
 //!
-//! A drain only forbids new starts; existing runs go on to their ends.
+//! A drain only forbids new starts; existing runs continue until they end.
 
 use crate::metrics::metrics;
 use crate::record::{Record, WorkerRecord};
@@ -25,24 +25,25 @@
     draft.add(Record::Drained(inputs.drained.clone()).encode());
 }
 
-/// Returns whether the known drain orders are recent enough to assign runs, and logs when that changes.
-pub fn check_orders_known(planner: &mut Planner, inputs: &RoundInputs<'_>) -> bool {
+/// Returns whether the drain orders were read recently enough to assign runs, and logs when that
+/// changes.
+pub fn check_orders_recent(planner: &mut Planner, inputs: &RoundInputs<'_>) -> bool {
     let limit = planner.settings.max_drain_orders_age;
-    let is_known = inputs.drain_orders_age.is_some_and(|age| age <= limit);
-    let was_known = std::mem::replace(&mut planner.drain_orders_known, is_known);
-    if is_known != was_known {
+    let is_recent = inputs.drain_orders_age.is_some_and(|age| age <= limit);
+    let was_recent = std::mem::replace(&mut planner.drain_orders_recent, is_recent);
+    if is_recent != was_recent {
         let age_ms = inputs.drain_orders_age.map_or(-1, |age| age.as_millis() as i128);
         log::info!(
-            "event=J146 drain orders known={is_known} age_ms={age_ms} limit_ms={}",
+            "event=J146 drain orders known={is_recent} age_ms={age_ms} limit_ms={}",
             limit.as_millis()
         );
     }
-    is_known
+    is_recent
 }
 
-/// Returns whether nothing may be started at a worker, since its failure domain is drained. A
-/// restored domain is used again only from the round in which the state topic shows it as restored,
-/// so that its agents have read this before the first start.
+/// Returns whether a worker's failure domain is drained, so that nothing may be started there. A
+/// restored domain is used again only once the state topic shows the restoration, so that the
+/// domain's agents read of it before the first start.
 pub fn is_drained(worker: &WorkerRecord, inputs: &RoundInputs<'_>) -> bool {
     inputs.drained.contains(&worker.failure_domain) || inputs.table.is_in_drained_domain(worker)
 }
--- a/crates/rampbay-jobs/src/planner/evict.rs
+++ b/crates/rampbay-jobs/src/planner/evict.rs
@@ -1,7 +1,7 @@
 //! Evicts workers whose agents are silent, and removes them once none of their runs can exist any more.
 
 use crate::keys::eviction_key;
-use crate::losses::LifeOver;
+use crate::losses::IncarnationEnd;
 use crate::metrics::metrics;
 use crate::record::{KeyedRecord, Record};
 
@@ -25,11 +25,11 @@
             continue;
         }
         log::warn!("event=J141 evicted worker removed worker={instance}");
-        remove_worker(draft, instance, LifeOver::default());
+        remove_worker(draft, instance, IncarnationEnd::default());
     }
 }
 
-fn remove_worker(draft: &mut Draft<'_>, instance: &str, over: LifeOver) {
+fn remove_worker(draft: &mut Draft<'_>, instance: &str, end: IncarnationEnd) {
     let registrations = draft.table.registrations();
     let newest = registrations.newest(instance).map(|(number, _)| number);
     let keys: Vec<String> = registrations.keys(instance).collect();
@@ -41,7 +41,7 @@
     }
     let evictions: Vec<String> = draft.table.eviction_keys(instance).collect();
     evictions.into_iter().for_each(|key| draft.remove(key));
-    draft.add(Record::LifeOver(instance.to_owned(), Box::new(over)).encode());
+    draft.add(Record::LifeOver(instance.to_owned(), Box::new(end)).encode());
 }
 
 /// Removes workers that have deregistered and whose agents stopped before they could record the end
@@ -61,7 +61,7 @@
             "event=J144 departed worker removed worker={instance} waited_ms={}",
             waited.as_millis()
         );
-        remove_worker(draft, instance, LifeOver { gave_notice: true, runs: None });
+        remove_worker(draft, instance, IncarnationEnd { gave_notice: true, runs: None });
     }
 }
 
--- a/crates/rampbay-jobs/src/planner/fleet_state.rs
+++ b/crates/rampbay-jobs/src/planner/fleet_state.rs
@@ -65,7 +65,7 @@
     /// Whether each worker is closed to further tasks, since an isolated task runs or will run there.
     closed: Vec<bool>,
     /// Number of workers that are held for gangs.
-    pub held: usize,
+    pub held_workers: usize,
     /// Demands that fit into no rack.
     pub infeasible_in_rack: InfeasibleDemands,
     /// Demands that fit nowhere.
--- a/crates/rampbay-jobs/src/planner/settle.rs
+++ b/crates/rampbay-jobs/src/planner/settle.rs
@@ -41,7 +41,7 @@
         return false;
     }
     let is_registered = table.workers.contains_key(&end.instance);
-    is_registered && !table.registrations().is_by_process_of(&end.instance, number)
+    is_registered && !table.registrations().is_registered_by_process_of(&end.instance, number)
 }
 
 fn record_health(end: &RunEnd, inputs: &RoundInputs<'_>, health: &mut HealthTracker) {
--- a/crates/rampbay-jobs/src/record.rs
+++ b/crates/rampbay-jobs/src/record.rs
@@ -11,7 +11,7 @@
     end_key, eviction_key, life_key, losses_key, part_key, plan_key, registrations_end_key,
     split_number, worker_key,
 };
-use crate::losses::{JobLosses, LifeOver};
+use crate::losses::{IncarnationEnd, JobLosses};
 use crate::plan::{JobPlan, TaskPlan};
 use crate::registrations::RegistrationNumber;
 
@@ -125,7 +125,7 @@
     /// A worker's registrations up to this number have ended, also those that are appended later.
     Over(InstanceId, RegistrationNumber),
     /// How an incarnation of a worker ended; kept as long as the end of its registrations.
-    LifeOver(InstanceId, Box<LifeOver>),
+    LifeOver(InstanceId, Box<IncarnationEnd>),
     /// The runs of a job that were lost with their workers.
     Losses(JobId, Box<JobLosses>),
     /// The plans of tasks of a wide step, from this task on.
--- a/crates/rampbay-jobs/src/registrations.rs
+++ b/crates/rampbay-jobs/src/registrations.rs
@@ -34,9 +34,9 @@
     (((position << TIME_BITS) | (wall & ((1 << TIME_BITS) - 1))) + 1) << REREGISTRATION_BITS
 }
 
-/// Returns the number that follows, for the same process. A decision to give up the worker that was
-/// made before it was registered again, and lands afterwards, then ends only the earlier
-/// registration.
+/// Returns the next number of the same process. The planner may decide to give up a worker just
+/// before it is registered again, and that decision may be appended after the registration: with a
+/// number of its own, the new registration isn't ended by it.
 #[must_use]
 pub const fn next_number(number: RegistrationNumber) -> RegistrationNumber {
     number + 1
@@ -51,13 +51,13 @@
 pub struct Registrations {
     numbered: BTreeMap<InstanceId, BTreeMap<RegistrationNumber, Rc<WorkerRecord>>>,
     ended_up_to: BTreeMap<InstanceId, RegistrationNumber>,
-    /// Registrations that landed after the record of their end; their keys are to be removed.
+    /// Registrations that were appended after the record of their end; their keys are to be removed.
     late: BTreeSet<(InstanceId, RegistrationNumber)>,
 }
 
 impl Registrations {
-    /// Inserts a registration. A departure is final: an earlier record of the worker that lands
-    /// later doesn't undo it.
+    /// Inserts a registration. A departure is final: an earlier record of the worker that is
+    /// appended later doesn't undo it.
     pub fn insert(&mut self, instance: &str, number: RegistrationNumber, mut record: WorkerRecord) {
         if self.ended_up_to.get(instance).is_some_and(|ended_up_to| number <= *ended_up_to) {
             self.late.insert((instance.to_owned(), number));
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Ends all registrations up to a number, including those that land later.
+    /// Ends all registrations up to a number, including those that are appended later.
     pub fn end(&mut self, instance: &str, number: RegistrationNumber) {
         let known = self.ended_up_to.entry(instance.to_owned()).or_default();
         *known = number.max(*known);
@@ -90,17 +90,18 @@
         ended.into_iter().for_each(|other| self.remove(instance, other));
     }
 
-    /// Forgets that registrations of a worker have ended, once none of them can land any more.
+    /// Forgets that registrations of a worker have ended, once none of them can be appended any
+    /// more.
     pub fn forget_end(&mut self, instance: &str) {
         self.ended_up_to.remove(instance);
     }
 
-    /// Iterates over the registrations that landed after the record of their end.
+    /// Iterates over the registrations that were appended after the record of their end.
     pub fn late(&self) -> impl Iterator<Item = &(InstanceId, RegistrationNumber)> {
         self.late.iter()
     }
 
-    /// Iterates over the workers that have ended registrations.
+    /// Iterates over the workers some of whose registrations have ended.
     pub fn workers_with_ended(&self) -> impl Iterator<Item = &InstanceId> {
         self.ended_up_to.keys()
     }
@@ -123,7 +124,7 @@
 
     /// Returns whether the process that took a number has registered the worker.
     #[must_use]
-    pub fn is_by_process_of(&self, instance: &str, number: RegistrationNumber) -> bool {
+    pub fn is_registered_by_process_of(&self, instance: &str, number: RegistrationNumber) -> bool {
         self.numbers(instance).any(|known| process_of(known) == process_of(number))
     }
 
--- a/crates/rampbay-jobs/src/table.rs
+++ b/crates/rampbay-jobs/src/table.rs
@@ -7,7 +7,7 @@
 use crate::drained::DrainedDomains;
 use crate::job::{InstanceId, JobId, NodeName, Submission, TaskId};
 use crate::keys::{eviction_key, split_refusal_key, split_worker_key};
-use crate::losses::{JobLosses, LifeOver};
+use crate::losses::{IncarnationEnd, JobLosses};
 use crate::parts::{PlanLayout, merge_head, merge_part};
 use crate::plan::{JobPlan, JobStatus, TaskPlan, TaskStatus};
 use crate::record::{EndReason, KeyedRecord, Leader, Member, Record, RunEnd, WorkerRecord};
@@ -77,7 +77,7 @@
     /// The processes, by their names.
     pub members: BTreeMap<NodeName, Member>,
     /// How incarnations of workers ended; kept for some time after their ends.
-    pub ended_incarnations: BTreeMap<InstanceId, Rc<LifeOver>>,
+    pub ended_incarnations: BTreeMap<InstanceId, Rc<IncarnationEnd>>,
     /// Runs that were lost with their workers, by job.
     pub losses: BTreeMap<JobId, Rc<JobLosses>>,
     /// All registrations, including those that newer ones have replaced.
@@ -140,8 +140,8 @@
                 self.registrations.end(&instance, number);
                 self.update_worker(&instance);
             }
-            Record::LifeOver(instance, over) => {
-                self.ended_incarnations.insert(instance, Rc::new(*over));
+            Record::LifeOver(instance, end) => {
+                self.ended_incarnations.insert(instance, Rc::new(*end));
             }
             Record::Losses(job, losses) => {
                 self.losses.insert(job, Rc::new(*losses));
--- a/crates/rampbay-jobs/src/worker.rs
+++ b/crates/rampbay-jobs/src/worker.rs
@@ -20,7 +20,7 @@
     pub attempt: u32,
     /// Payload that is passed to the task.
     pub payload: String,
-    /// Until when all runs at the worker are leased, by its clock.
+    /// Time at which the leases of all runs at the worker end, by the worker's clock.
     pub lease_until: WorkerMillis,
     /// Fencing token of the order.
     pub fencing_token: FencingToken,
@@ -42,7 +42,8 @@
 /// A call that renews leases, acknowledges ends, and lists runs and ends.
 #[derive(Clone, Copy, Debug)]
 pub struct RenewOrder {
-    /// Until when all runs at the worker are leased, by its clock; `None` renews no lease.
+    /// Time at which the leases of all runs at the worker end, by the worker's clock; `None` renews
+    /// no lease.
     pub lease_until: Option<WorkerMillis>,
     /// Fencing token of the order.
     pub fencing_token: FencingToken,
@@ -70,8 +71,8 @@
 /// Why a call to a worker got no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WorkerError {
-    /// Another incarnation of the worker answered, with its id if it told that: the intended one
-    /// has ended.
+    /// Another incarnation of the worker answered, so the intended one has ended. Holds the id of
+    /// the one that answered, if its answer contains it.
     #[error("another incarnation of the worker answered")]
     OtherLife(Option<InstanceId>),
     /// No answer arrived; the order may still be carried out.
@@ -91,7 +92,7 @@
     No(Refusal),
 }
 
-/// An end that a worker lists.
+/// The end of a run, as its worker lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedEnd {
     /// Number of the end at this incarnation of the worker, from 1.
@@ -129,8 +130,9 @@
 
     /// Stops a run at whichever incarnation answers at the worker's address: an order meant for the
     /// previous incarnation may have been carried out by the next one, if both share an id. Returns
-    /// whether the run is certainly over, or will never start. The default is for workers whose
-    /// incarnations can't be confused by an order: there is nothing to stop.
+    /// whether the run is certainly over, or will never start. The default implementation is for
+    /// workers that carry out an order only in the incarnation that it is meant for: there is nothing
+    /// to stop then.
     async fn stop_in_any_incarnation(&self, _order: &StopOrder) -> Result<bool, WorkerError> {
         Ok(true)
     }
--- a/crates/rampbay-jobs/tests/returns.rs
+++ b/crates/rampbay-jobs/tests/returns.rs
@@ -63,7 +63,7 @@
 }
 
 /// A run is to be stopped that the agent's new process doesn't know. The process's first
-/// registration is rejected, so that its refusal of the run lands before the registration.
+/// registration is rejected, so that its refusal of the run is appended before the registration.
 #[test]
 fn refusal_before_own_registration_counts() {
     on_virtual_time(async {
@@ -104,8 +104,8 @@
     });
 }
 
-/// An evicted worker's agent registers again. The planner's decision to give the worker up, made
-/// just before, lands just after.
+/// An evicted worker's agent registers again. The planner decided just before to give the worker
+/// up, and that decision is appended just after the registration.
 #[test]
 fn worker_given_up_after_return_runs_once() {
     on_virtual_time(async {
--- a/crates/rampbay-peer/src/agent.rs
+++ b/crates/rampbay-peer/src/agent.rs
@@ -13,7 +13,7 @@
 
 /// The process of an agent.
 pub struct Agent {
-    /// The store, over all paths.
+    /// The store, reached through peers or directly.
     pub store: Rc<dyn Store>,
     /// The table of this process.
     pub live: LiveTable,
--- a/crates/rampbay-peer/src/entry.rs
+++ b/crates/rampbay-peer/src/entry.rs
@@ -1,5 +1,5 @@
-//! An entry's process, apart from serving callers: follows the state and the operators' orders, and
-//! stands for election as leader.
+//! What an entry's process does besides serving callers: it follows the state and the operators'
+//! orders, and stands for election as leader.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 pub struct Entry {
     /// Settings of the process.
     pub settings: Rc<Settings>,
-    /// The store, over all paths.
+    /// The store, reached through peers or directly.
     pub store: Rc<dyn Store>,
     /// How the process finds its peers.
     pub routes: Routes,
--- a/crates/rampbay-peer/src/stack.rs
+++ b/crates/rampbay-peer/src/stack.rs
@@ -65,7 +65,7 @@
 
 /// The layers through which a process reaches the store.
 pub struct StoreStack {
-    /// The store, over all paths.
+    /// The store, reached through peers or directly.
     pub store: Rc<dyn Store>,
     /// Handles the requests of peers.
     pub peer_service: PeerService,
--- a/crates/rampbay-peer/src/tree.rs
+++ b/crates/rampbay-peer/src/tree.rs
@@ -5,7 +5,7 @@
 //! the inner ones, read through the leader; the other well-provisioned entries, the outer ones,
 //! read through the inner ones; small entries and agents read through all well-provisioned entries
 //! except the leader. So a record reaches each process in three hops at most, and the leader serves
-//! no more of them however large the fleet is. The load that grows with the fleet is shared by the
+//! no more processes in a larger fleet. The load that grows with the fleet is shared by the
 //! well-provisioned entries, whose number grows with it.
 //!
 //! Every process computes the tree from its own table. While two tables differ, two processes may
--- a/crates/rampbay-scale/src/load.rs
+++ b/crates/rampbay-scale/src/load.rs
@@ -123,19 +123,19 @@
 
     /// Returns all bytes of calls between processes.
     #[must_use]
-    pub fn passed_bytes(&self) -> u64 {
+    pub fn peer_bytes(&self) -> u64 {
         self.peer_calls.values().map(|traffic| traffic.bytes).sum()
     }
 
     /// Returns the traffic of the process that answered the most calls of its peers.
     #[must_use]
-    pub fn busiest(&self) -> Traffic {
+    pub fn busiest_by_calls(&self) -> Traffic {
         self.peer_calls.values().copied().max_by_key(|traffic| traffic.calls).unwrap_or_default()
     }
 
     /// Returns the traffic of the process that exchanged the most bytes with its peers.
     #[must_use]
-    pub fn heaviest(&self) -> Traffic {
+    pub fn busiest_by_bytes(&self) -> Traffic {
         self.peer_calls.values().copied().max_by_key(|traffic| traffic.bytes).unwrap_or_default()
     }
 }
--- a/crates/rampbay-scale/src/main.rs
+++ b/crates/rampbay-scale/src/main.rs
@@ -72,7 +72,7 @@
     rows.push(("start: leadership dealt".to_owned(), fleet.store.generation().to_string()));
     rows.push(("start: calls to the store".to_owned(), counts.calls().to_string()));
     rows.push(("start: kB of the store".to_owned(), (counts.store_bytes() / 1000).to_string()));
-    let passed = (counts.passed_bytes() / 1000).to_string();
+    let passed = (counts.peer_bytes() / 1000).to_string();
     rows.push(("start: kB between processes".to_owned(), passed));
 }
 
@@ -88,9 +88,12 @@
     }
     rows.push(("idle: calls a second".to_owned(), rate(counts.calls())));
     rows.push(("idle: kB a second of the store".to_owned(), rate(counts.store_bytes() / 1000)));
-    let busiest = counts.busiest();
+    let busiest = counts.busiest_by_calls();
     rows.push(("idle: calls a second, busiest peer".to_owned(), rate(busiest.calls)));
-    rows.push(("idle: kB a second, widest peer".to_owned(), rate(counts.heaviest().bytes / 1000)));
+    rows.push((
+        "idle: kB a second, widest peer".to_owned(),
+        rate(counts.busiest_by_bytes().bytes / 1000),
+    ));
 }
 
 async fn measure_change(fleet: &Fleet, rows: &mut Vec<(String, String)>) {
--- a/crates/rampbay-scale/tests/calls.rs
+++ b/crates/rampbay-scale/tests/calls.rs
@@ -59,6 +59,6 @@
 #[case::hundreds(480)]
 fn calls_of_busiest_peer_independent_of_size(#[case] machines: usize) {
     let counts = idle(Size::of(machines));
-    let per_second = counts.busiest().calls as f64 / MEASURED_TIME.as_secs_f64();
+    let per_second = counts.busiest_by_calls().calls as f64 / MEASURED_TIME.as_secs_f64();
     assert!(per_second < 12.0 * FAN_OUT as f64, "{per_second} calls a second");
 }
--- a/crates/rampbay-scale/tests/plans.rs
+++ b/crates/rampbay-scale/tests/plans.rs
@@ -27,12 +27,12 @@
     sleep(SETTLE_TIME).await;
     fleet.load.take();
     sleep(JOB_TIME).await;
-    let idle = fleet.load.take().passed_bytes();
+    let idle = fleet.load.take().peer_bytes();
     fleet.submit(JOB, tasks as u32, DEVICES_PER_WORKER).await;
     let done = fleet.wait_until(JOB_TIME, |fleet| fleet.is_done(JOB)).await;
     let done = done.expect("the job is done in time");
     sleep(JOB_TIME.saturating_sub(done)).await;
-    let passed = fleet.load.take().passed_bytes();
+    let passed = fleet.load.take().peer_bytes();
     passed.saturating_sub(idle) as f64 / tasks as f64
 }
 
